--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of an entry that calls endpoints directly: no input or output, no clock."""
+"""Routing decisions of an entry that calls endpoints directly; no I/O and no clock access."""
 
 from beryljunction.routing.admitting import Admitted, Denial, DenialReason, admit
 from beryljunction.routing.attempts import AttemptPlan, Outcome, Verdict
--- a/src/beryljunction/routing/admitting.py
+++ b/src/beryljunction/routing/admitting.py
@@ -1,4 +1,4 @@
-"""Checks a caller's request against the settings in force, before anything is sent."""
+"""Checks a request against the settings in force before anything is sent."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class DenialReason(enum.Enum):
-    """Why a request is not taken."""
+    """Why a request is rejected."""
 
     NO_SETTINGS = "no_settings"
     SETTINGS_TOO_OLD = "settings_too_old"
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class Denial:
-    """The request is not taken.
+    """A rejected request.
 
     Attributes:
-        is_final: Whether coming back is no use.
+        is_final: Whether a retry is pointless.
     """
 
     reason: DenialReason
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Admitted:
-    """The request goes to the route's service for this client account, None for none."""
+    """An accepted request: its route and its client account, None if it has none."""
 
     route: Route
     account: Account | None
@@ -47,10 +47,10 @@
     api_key: str | None,
     now_s: float,
 ) -> Admitted | Denial:
-    """Return whether and how a request may be served now.
+    """Return the route and client account of a request, or why it is rejected.
 
-    A route or key that is unknown here while the settings are old may have been added since, so
-    that is answered as "come back", not as an error of the caller's.
+    A route or key that is missing from stale settings may have been added since, so such a denial
+    is not final and the caller is told to retry.
     """
     if config is None:
         return Denial(DenialReason.NO_SETTINGS, is_final=False)
--- a/src/beryljunction/routing/attempts.py
+++ b/src/beryljunction/routing/attempts.py
@@ -1,4 +1,4 @@
-"""What follows after a request was sent to an endpoint and did not get its answer."""
+"""Decides what follows when an attempt at an endpoint did not bring an answer."""
 
 import enum
 
@@ -9,19 +9,19 @@
 
 __all__ = ["AttemptPlan", "Outcome", "Verdict"]
 
-# Endpoints whose connection failed that one request walks through; each costs up to the connect
-# time-out, and after three more it is likely that the service is gone.
-_MOST_CONNECT_FAILURES = 4
+# Failed connections after which a request is given up. Each costs up to the connect timeout, and
+# after four the service is probably gone.
+_MAX_CONNECT_FAILURES = 4
 
 
 class Outcome(enum.Enum):
-    """How sending a request to an endpoint ended.
+    """Result of one attempt to send a request to an endpoint.
 
     Attributes:
-        NOT_SENT: No byte went out.
-        DECLINED: The endpoint says that it did not run the request.
-        FAILED: It may have run: no answer, or one that broke off or can't be read.
-        ERRORED: It ran, and the endpoint's own answer is an error.
+        NOT_SENT: No byte was sent.
+        DECLINED: The endpoint states that it did not run the request.
+        FAILED: The request may have run: the answer is missing, incomplete or unreadable.
+        ERRORED: The endpoint ran the request and answered with an error.
     """
 
     NOT_SENT = "not_sent"
@@ -31,13 +31,13 @@
 
 
 class Verdict(enum.Enum):
-    """What is to be done.
+    """What to do after an attempt.
 
     Attributes:
-        AGAIN: Send it to another endpoint.
-        REFUSE: It has not run and will not; the caller may come back.
-        FAIL: It may have run; the caller is told that nothing is known.
-        DELIVER: Hand on the endpoint's own error.
+        AGAIN: Send the request to another endpoint.
+        REFUSE: The request has not run and will not; the caller may retry.
+        FAIL: The request may have run; the caller is told that the outcome is unknown.
+        DELIVER: Pass on the endpoint's own error response.
     """
 
     AGAIN = "again"
@@ -48,12 +48,12 @@
 
 @attrs.define
 class AttemptPlan:
-    """Follows one request through its sends.
+    """Tracks the attempts of one request and decides whether another one follows.
 
     Attributes:
-        sends: Endpoints that got at least one byte of the request.
-        may_send_again: Whether second sends are switched on.
-        may_have_run: Whether any of them may have run it.
+        sends: Endpoints that were sent at least one byte of the request.
+        may_send_again: Whether retries are enabled.
+        may_have_run: Whether any endpoint may have run the request.
     """
 
     repeat: Repeat
@@ -65,22 +65,22 @@
     _connect_failures: int = 0
 
     def before_send(self, now_s: float) -> bool:
-        """Count a send; False when the fleet's share of second sends is used up."""
+        """Count a send; return False when the retry budget is used up."""
         if self.sends and not self.share.spend(now_s):
             return False
         self.sends += 1
         return True
 
     def after(self, outcome: Outcome) -> Verdict:
-        """Return what follows.
+        """Return what to do after an attempt with this outcome.
 
-        A request that may have run is sent again only where running twice does no harm. One that is
-        known not to have run is sent on within the route's number of endpoints.
+        A request that may have run is sent again only if its route allows repeats. One that is
+        known not to have run is sent to up to `max_attempts` endpoints.
         """
         if outcome is Outcome.NOT_SENT:
             self._connect_failures += 1
-            may_go_on = self._connect_failures < _MOST_CONNECT_FAILURES
-            return Verdict.AGAIN if may_go_on else self.give_up()
+            has_attempts_left = self._connect_failures < _MAX_CONNECT_FAILURES
+            return Verdict.AGAIN if has_attempts_left else self.give_up()
         if outcome in (Outcome.FAILED, Outcome.ERRORED):
             self.may_have_run = True
         if not self.may_send_again:
@@ -91,5 +91,5 @@
         return Verdict.DELIVER if outcome is Outcome.ERRORED else self.give_up()
 
     def give_up(self) -> Verdict:
-        """Return how to end without an answer; "not run" only where that is certain."""
+        """Return how to end without an answer: REFUSE only if the request certainly did not run."""
         return Verdict.FAIL if self.may_have_run else Verdict.REFUSE
--- a/src/beryljunction/routing/cold.py
+++ b/src/beryljunction/routing/cold.py
@@ -1,4 +1,4 @@
-"""How many requests this entry may send to an endpoint that is warming up."""
+"""Limits the requests of this entry to endpoints that are warming up ("cold")."""
 
 import math
 from collections.abc import Sequence
@@ -11,41 +11,41 @@
 
 __all__ = ["ColdLimit", "ColdShare", "share_of"]
 
-# Requests are counted per second; a little more absorbs rounding of the clocks.
+# Requests are counted over one second, plus a margin for clock rounding.
 _WINDOW_S = 1.05
-# Part of the limit that is shared out: the rest is left to entries that others don't know yet.
+# Part of the limit that is divided; the rest is left to entries that the others don't know yet.
 _SHARED_RATIO = 0.85
-# Rendezvous positions are kept for this many cold endpoints.
-_MOST_KEPT = 512
+# Number of endpoints whose rendezvous position is cached.
+_MAX_CACHED_POSITIONS = 512
 
 
 @attrs.frozen
 class ColdLimit:
-    """The fleet's promise for a cold endpoint.
+    """Fleet-wide limit on the requests to a cold endpoint.
 
     Attributes:
-        overshoot: Multiple of an endpoint's own rate that it may get.
-        slack: Requests a second on top of that.
+        overshoot: Factor on the request rate that the service sets for a cold endpoint.
+        slack: Requests per second on top of that.
     """
 
     overshoot: float = 1.0
     slack: float = 0.0
 
     def requests_per_s(self, service: Service) -> float:
-        """Return the requests that all entries together may send in any second."""
+        """Return how many requests all entries together may send in any one second."""
         return service.cold_per_s * self.overshoot + self.slack
 
 
 def share_of(position: int, entries: int, requests_per_s: float) -> int:
-    """Return the requests that one entry may send in any second.
+    """Return how many requests one entry may send in any one second.
 
-    Each of the first few entries gets an equal whole number; the others get none, since one request
-    from each of them may already be more than the endpoint bears.
+    The first few entries get equal whole numbers. The others get none, since even one request from
+    each of them could exceed what the endpoint can handle.
 
     Args:
-        position: Place of the entry in an order that all entries agree on.
-        entries: Entries that may be alive.
-        requests_per_s: Limit for all of them together.
+        position: Position of the entry in an order on which all entries agree.
+        entries: Number of entries that may be alive.
+        requests_per_s: Limit for all entries together.
     """
     shared = int(requests_per_s * _SHARED_RATIO)
     senders = min(entries, shared)
@@ -53,16 +53,16 @@
 
 
 class ColdShare:
-    """Keeps the requests to a cold endpoint below the limit of the fleet without agreement.
+    """Keeps the fleet's requests to a cold endpoint below the limit without coordination.
 
-    An endpoint that has just started crashes above a rate of its own. Each entry takes a share that
-    depends only on the list of entries, so the sum holds also for entries that are cut off from the
-    store or from each other. An entry that has just started doesn't know what its process sent
-    before, and sends nothing to cold endpoints for a second.
+    An endpoint that has just started crashes above a certain request rate. The share of each entry
+    depends only on the list of entries, so the sum stays below the limit even if entries are cut
+    off from the store or from each other. An entry that has just started doesn't know what its
+    previous process sent, so it sends nothing to cold endpoints for one second.
 
     Args:
         host: Name of this entry's host.
-        limit: The promise in force.
+        limit: Limit in force.
         started_s: When this entry started.
     """
 
@@ -74,7 +74,7 @@
         self.limit = limit
 
     def note_entries(self, hosts: Sequence[str]) -> None:
-        """Take in the hosts of all entries that are listed."""
+        """Update the hosts of all listed entries."""
         if tuple(hosts) != self._hosts:
             self._hosts = tuple(hosts)
             self._positions.clear()
@@ -103,7 +103,7 @@
         return [row for row in rows if self.allows(row, service, now_s)]
 
     def note_send(self, row: KnownEndpoint, service: Service | None, now_s: float) -> None:
-        """Count a request to an endpoint, which may be found to be cold a moment later."""
+        """Count a request to any endpoint, since it may turn out to be cold a moment later."""
         if service is None or service.cold_per_s <= 0.0:
             return
         while row.cold_sends_s and now_s - row.cold_sends_s[0] > _WINDOW_S:
@@ -114,16 +114,16 @@
         position = self._positions.get(endpoint_id)
         if position is None:
             position = self._position(endpoint_id)
-            if len(self._positions) >= _MOST_KEPT:
+            if len(self._positions) >= _MAX_CACHED_POSITIONS:
                 self._positions.clear()
             self._positions[endpoint_id] = position
         per_s = self.limit.requests_per_s(service)
         return share_of(position, len(self._hosts), per_s) if math.isfinite(per_s) else 0
 
     def _position(self, endpoint_id: str) -> int:
-        """Return this entry's place in the rendezvous order of the entries for an endpoint.
+        """Return this entry's position in the rendezvous order of the entries for an endpoint.
 
-        An entry that only some know of moves each of the others by one place at most.
+        An entry that only some of the others know of shifts each of them by at most one position.
         """
         mine = rendezvous_rank(endpoint_id, self._host)
         return sum(1 for host in self._hosts if rendezvous_rank(endpoint_id, host) < mine)
--- a/src/beryljunction/routing/contact.py
+++ b/src/beryljunction/routing/contact.py
@@ -1,4 +1,4 @@
-"""When the platform's store last answered the fleet, and when it came back from an outage."""
+"""When the platform's store last answered the fleet, and when it recovered from an outage."""
 
 import math
 
@@ -9,56 +9,57 @@
 
 @attrs.define
 class StoreContact:
-    """Tells an outage of the store from the trouble of a single host.
+    """Tells an outage of the store from a connection problem of a single host.
 
-    While any entry reaches the store, its confirmations arrive here through updates or answers to
-    questions. Only when none arrived for as long as a record takes to expire can records of live
-    endpoints have expired. A host that was rejected alone and gets through again is no return.
+    While any entry reaches the store, its confirmations arrive here through updates or through
+    answers of peers. Records of live endpoints can have expired only if none arrived for as long as
+    a record takes to expire. A single host that was rejected and gets through again does not mean
+    that the store has recovered.
 
     Attributes:
         least_outage_s: Shortest outage in which the record of a live endpoint can expire.
-        confirmed_s: When the store was last asked with success, by this entry or another one.
-        regained_s: When the store came back from its last outage; minus infinity before the first.
+        confirmed_s: When this or another entry last asked the store successfully.
+        regained_s: When the store recovered from its last outage; minus infinity before the first.
     """
 
     least_outage_s: float = 2.0
     confirmed_s: float = -math.inf
     regained_s: float = -math.inf
-    _has_failed: bool = False
+    _has_failed_read: bool = False
 
     def note_failure(self) -> None:
-        """Take in that a read of this entry failed."""
-        self._has_failed = True
+        """Record that a read of this entry failed."""
+        self._has_failed_read = True
 
     def note_answer(self, asked_s: float, now_s: float) -> None:
-        """Take in that a read of this entry was answered.
+        """Record that a read of this entry was answered.
 
         Args:
             asked_s: When the store was asked.
-            now_s: When the answer came.
+            now_s: When the answer arrived.
         """
-        if self._has_failed and self._is_return(asked_s):
+        if self._has_failed_read and self._is_recovery(asked_s):
             self.regained_s = now_s
-        self._has_failed = False
+        self._has_failed_read = False
         self._confirm(asked_s)
 
     def note_restored(self, now_s: float) -> None:
-        """Take in that the store came back from an older copy; it may lack live endpoints."""
+        """Record that the store was restored from an older copy and may lack live endpoints."""
         self.regained_s = max(self.regained_s, now_s)
 
     def note_update(self, asked_s: float, regained_s: float | None, now_s: float) -> None:
-        """Take in what another entry knows.
+        """Record what another entry knows.
 
         Args:
-            asked_s: When the store was last asked with success.
-            regained_s: When the other entry saw the store come back; None where it did not say.
-            now_s: When its word came.
+            asked_s: When the store was last asked successfully.
+            regained_s: When the other entry saw the store recover; None if it did not say.
+            now_s: When its message arrived.
         """
-        if self._is_return(asked_s) and (self._has_failed or regained_s is not None):
+        if self._is_recovery(asked_s) and (self._has_failed_read or regained_s is not None):
             self.regained_s = max(self.regained_s, now_s if regained_s is None else regained_s)
         self._confirm(asked_s)
 
-    def _is_return(self, asked_s: float) -> bool:
+    def _is_recovery(self, asked_s: float) -> bool:
         return asked_s - self.confirmed_s > self.least_outage_s
 
     def _confirm(self, asked_s: float) -> None:
--- a/src/beryljunction/routing/digest.py
+++ b/src/beryljunction/routing/digest.py
@@ -1,4 +1,4 @@
-"""Recognises a request that comes again under another id."""
+"""Digest by which a request is recognised when it is sent again under another id."""
 
 import hashlib
 
@@ -8,15 +8,15 @@
 
 
 def request_digest(account: str, method: bytes, host: str, target: bytes, body: bytes) -> str:
-    """Return the same text for the same request of the same client account.
+    """Return a digest that is the same for equal requests of one client account.
 
-    The hash is cryptographic, so that no caller can make a request that is taken for another
-    account's.
+    The hash is cryptographic, so that no caller can craft a request with the digest of another
+    account's request.
 
     Args:
         account: Name of the client account; empty for an anonymous caller.
         method: Method of the request.
-        host: Host that the caller named.
+        host: Host that the request names.
         target: Path and query.
         body: Body as the caller sent it.
     """
--- a/src/beryljunction/routing/endpoints.py
+++ b/src/beryljunction/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that requests may go to."""
+"""Registry of the endpoints that may get requests."""
 
 import collections
 from collections.abc import Iterable
@@ -8,26 +8,26 @@
 
 __all__ = ["EndpointRegistry"]
 
-# An endpoint writes of itself again within this time after the store is back; one that is missing
-# for longer has left (the platform's promise is about 2 s).
-_LAPSE_S = 2.0
-# Starts that are remembered after their record went: as many as a large fleet has endpoints.
-_MOST_DEPARTED = 1_024
+# A live endpoint writes its record again within this time after the store has recovered (the
+# platform promises about 2 s); one that is still missing then has left.
+_REREGISTRATION_S = 2.0
+# Endpoints that are remembered without a record: as many as a large fleet has.
+_MAX_DEPARTED = 1_024
 
 
 class EndpointRegistry:
     """Membership of endpoints, from the records that they write.
 
-    An endpoint is dropped when its record says that it leaves, or goes away: requests that are sent
-    later meet nobody, or the next owner of its address. The exception is an outage of the store, in
-    which records of live endpoints expire; such an endpoint is kept until a deadline that is fixed
-    when its record goes, by which a live one has written again.
+    An endpoint gets no more requests once its record is deleted or says that it is leaving: later
+    requests would reach nobody, or the next owner of its address. The exception is an outage of the
+    store, in which the records of live endpoints expire. Such an endpoint is kept until a deadline
+    that is fixed when the record is deleted; a live one has written its record again by then.
 
-    What is known of a start outlives its row: a record that went away and came back doesn't take
-    back what the endpoint itself has said in its answers.
+    What is known of an incarnation is kept after it is dropped: if its record comes back, what the
+    endpoint stated in its answers still holds.
 
     Args:
-        contact: When the store came back.
+        contact: Knows when the store recovered from an outage.
     """
 
     def __init__(self, contact: StoreContact | None = None) -> None:
@@ -42,7 +42,7 @@
 
     @property
     def rows(self) -> list[KnownEndpoint]:
-        """All endpoints that are known."""
+        """All known endpoints."""
         return list(self._rows.values())
 
     def find(self, endpoint_id: str) -> KnownEndpoint | None:
@@ -50,14 +50,15 @@
         return self._rows.get(endpoint_id)
 
     def put(self, record: EndpointRecord, now_s: float) -> KnownEndpoint:
-        """Take in a record; a new start replaces what was known of the one before.
+        """Add or update an endpoint; a new incarnation replaces what was known of the last one.
 
-        A restored store may hold an earlier record of a start than is known, which changes nothing.
+        A restored store may return an older record of an incarnation; it doesn't replace a newer
+        one.
         """
         known = self._rows.get(record.endpoint_id)
         if known is None or not known.record.is_same_start(record):
             self._drop(record.endpoint_id)
-            known = self._rows[record.endpoint_id] = self._row(record, now_s)
+            known = self._rows[record.endpoint_id] = self._create_row(record, now_s)
         elif known.record != record:
             known.note_cold(record.cold_ms, now_s)
         if record.sequence >= known.record.sequence:
@@ -65,11 +66,11 @@
         known.lapses_s = None
         return known
 
-    def _row(self, record: EndpointRecord, now_s: float) -> KnownEndpoint:
-        """Return the row of a start that comes, or comes back.
+    def _create_row(self, record: EndpointRecord, now_s: float) -> KnownEndpoint:
+        """Return the row of a new or returning incarnation.
 
-        Answers don't say which start of an endpoint they are of: what one said after this start was
-        born may be this one's word, though its record is read only now.
+        Answers don't name the incarnation that sent them. A "leaving" in an answer received after
+        this one started may be its own, although its record is read only now.
         """
         former = self._departed.pop(record.endpoint_id, None)
         if former is not None and former.record.is_same_start(record):
@@ -92,13 +93,13 @@
         if known is None:
             return
         self._departed[endpoint_id] = known
-        while len(self._departed) > _MOST_DEPARTED:
+        while len(self._departed) > _MAX_DEPARTED:
             self._departed.popitem(last=False)
 
     def evacuate(self, zones: frozenset[str], now_s: float) -> None:
-        """Take in which availability zones get no new requests.
+        """Set the availability zones that get no new requests.
 
-        Endpoints of a zone that gets them again may have cooled down meanwhile.
+        Endpoints of a zone that gets requests again may have become cold in the meantime.
         """
         self._evacuated = zones
         for row in self._rows.values():
@@ -108,18 +109,18 @@
             row.is_evacuated = is_evacuated
 
     def remove(self, endpoint_id: str, now_s: float) -> KnownEndpoint | None:
-        """Take in that a record is gone; None when nothing was known of it."""
+        """Handle the deletion of a record; return None if the endpoint was not known."""
         known = self._rows.get(endpoint_id)
         if known is None:
             return None
         if known.lapses_s is None:
-            known.lapses_s = self._contact.regained_s + _LAPSE_S
+            known.lapses_s = self._contact.regained_s + _REREGISTRATION_S
         if known.has_said_leaving or known.lapses_s <= now_s:
             self._drop(endpoint_id)
         return known
 
     def replace(self, records: Iterable[EndpointRecord], now_s: float) -> None:
-        """Take in a full list."""
+        """Apply a full list of records."""
         kept = set()
         for record in records:
             kept.add(record.endpoint_id)
@@ -129,34 +130,34 @@
         self.is_loaded = True
 
     def expire(self, now_s: float) -> None:
-        """Drop endpoints whose record did not come back after the store did."""
+        """Drop endpoints whose record did not come back after an outage of the store."""
         for endpoint_id, row in list(self._rows.items()):
             if row.lapses_s is not None and row.lapses_s <= now_s:
                 self._drop(endpoint_id)
 
     def evacuated(self, service: str) -> list[KnownEndpoint]:
-        """Return the endpoints of a service whose availability zone gets no new requests."""
+        """Return a service's endpoints in availability zones that get no new requests."""
         if not self._evacuated:
             return []
         rows = self._rows.values()
         return [row for row in rows if row.is_evacuated and row.record.service == service]
 
     def usable(self, service: str, now_s: float) -> list[KnownEndpoint]:
-        """Return the endpoints of a service that may get new requests."""
+        """Return the endpoints of a service that may get new requests now."""
         return [row for row in self.open(service, now_s) if not row.is_paused(now_s)]
 
     def open(self, service: str, now_s: float) -> list[KnownEndpoint]:
-        """Return the endpoints of a service that may get new requests, now or after a pause."""
+        """Return the endpoints of a service that may get new requests, including paused ones."""
         self.expire(now_s)
         return [row for row in self._rows.values() if row.record.service == service and row.is_open]
 
     def opens_in_s(self, service: str, now_s: float) -> float:
-        """Return when the first paused endpoint of a service takes requests again; 0 for none."""
+        """Return the time until some endpoint of a service takes requests; 0 if one does now."""
         until_s = [row.paused_until_s for row in self.open(service, now_s)]
         return max(0.0, min(until_s, default=now_s) - now_s)
 
     def reachable(self, service: str, now_s: float) -> list[KnownEndpoint]:
-        """Return the endpoints of a service that answer, leaving ones too."""
+        """Return the endpoints of a service that answer, including leaving ones."""
         return [
             row
             for row in self._rows.values()
@@ -164,5 +165,5 @@
         ]
 
     def is_usable(self, known: KnownEndpoint) -> bool:
-        """Return whether this start of the endpoint may still get requests."""
+        """Return whether this incarnation of the endpoint may still get requests."""
         return self._rows.get(known.record.endpoint_id) is known and known.is_open
--- a/src/beryljunction/routing/evacuations.py
+++ b/src/beryljunction/routing/evacuations.py
@@ -1,4 +1,4 @@
-"""Availability zones that the operator empties."""
+"""Availability zones that the operator has evacuated."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class ZoneChange:
-    """An availability zone that is to get no new requests, or may get them again."""
+    """An availability zone that gets no new requests from now on, or gets them again."""
 
     zone: str
     is_evacuated: bool
@@ -17,14 +17,14 @@
 
 @attrs.define
 class Evacuations:
-    """The zones under evacuation, as of a position in the operator's records.
+    """Evacuated availability zones, as of a position in the operator's records.
 
-    Readings of the store and updates of other entries arrive in any order; one that is behind what
-    is known changes nothing. What is known stays in force while the store is away.
+    Reads of the store and updates from other entries arrive in any order; an older one changes
+    nothing. Known evacuations stay in force while the store is unreachable.
 
     Attributes:
-        position: Position in the operator's records up to which they are taken in; -1 for none.
-        since_s: When this entry learned of each zone under evacuation.
+        position: Position up to which the operator's records are applied; -1 for none.
+        since_s: When this entry learned of each evacuation.
     """
 
     position: int = -1
@@ -36,7 +36,7 @@
         return frozenset(self.since_s)
 
     def replace(self, zones: Iterable[str], position: int, now_s: float) -> tuple[ZoneChange, ...]:
-        """Take in the complete set; return what changed."""
+        """Apply the complete set of evacuated zones; return what changed."""
         if position < self.position:
             return ()
         wanted = frozenset(zones)
@@ -46,7 +46,7 @@
     def update(
         self, states: Mapping[str, bool], position: int, now_s: float
     ) -> tuple[ZoneChange, ...]:
-        """Take in the last state of some zones, whether each is evacuated; return what changed."""
+        """Apply the latest state of some zones (True: evacuated); return what changed."""
         if position < self.position:
             return ()
         self.position = position
--- a/src/beryljunction/routing/fanout.py
+++ b/src/beryljunction/routing/fanout.py
@@ -1,4 +1,4 @@
-"""Which entries read the store for all, and to whom each passes on what it knows."""
+"""Which entries read the store, and to which others each entry forwards the records."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,35 +10,35 @@
 __all__ = ["FanOut"]
 
 # Entries that may read the store for all others: one does, the others wait for changes of settings
-# and stand in for it. With a third of the hosts rejected by the store, one fleet in eighty has none
+# and take over if it fails. If the store rejects a third of the hosts, one fleet in eighty has none
 # of them left.
-_READERS = 4
-# Entries that each one has below it in the tree; it serves those of its partner too. 340 entries
-# are three levels, and one tells 8 others at most, 11 where it is a reader.
-_WIDTH = 4
-# Part of the bound on the age of records from which an entry below the readers asks the store for
-# itself; the age stays under half of it while one of its two sources works. The levels ask one
-# after the other, so that those below hear from one that has asked.
-_ASK_RATIO = 0.75
-_ASK_RATIO_STEP = 0.04
-_MOST_ASK_RATIO = 0.83
-# Spread of that moment, so that entries of a level which lose their sources don't ask together.
-_ASK_SPREAD_RATIO = 0.04
-# The same for the readers behind the first, which stand in before any entry below them asks.
-_BACKUP_RATIO = 0.55
-_BACKUP_RATIO_STEP = 0.05
+_READER_COUNT = 4
+# Children of each entry in the tree; it also serves the children of its sibling. 340 entries make
+# three levels, and one entry updates at most 8 others, or 11 if it is a reader.
+_CHILDREN_PER_ENTRY = 4
+# Fraction of the age bound at which an entry below the readers reads the store itself; the age
+# stays below half of the bound while one of its two sources works. Each level waits longer than the
+# one above, so that it can get the records from an entry that has just read them.
+_FALLBACK_RATIO = 0.75
+_FALLBACK_RATIO_STEP = 0.04
+_MAX_FALLBACK_RATIO = 0.83
+# Random spread of that time, so that entries of one level don't all read the store together.
+_FALLBACK_SPREAD_RATIO = 0.04
+# The same for the standby readers, which take over before any entry below them reads.
+_STANDBY_RATIO = 0.55
+_STANDBY_RATIO_STEP = 0.05
 
 
 @attrs.define
 class FanOut:
-    """A tree over the entries, which each entry works out for itself from the same list.
+    """Distribution tree of the entries, which each entry computes for itself from the same list.
 
-    Few entries read the store, and the others get its records from them, so that the calls do not
-    grow with the fleet. Nothing is agreed: an entry whose list differs from the others' gets the
-    same records twice, or none, and then reads for itself.
+    A few entries read the store and the others get its records from them, so that the calls to the
+    store do not grow with the fleet. The entries do not coordinate: one whose list differs from the
+    others' gets the same records twice, or gets none and then reads the store itself.
 
-    The order is that of a hash of the hosts' names. The first few read the store; each of the
-    others has two entries above it, so one that is killed, cut off or paused is not missed.
+    Entries are ordered by a hash of their host names. The first few read the store; each of the
+    others has two parents, so that it still gets records if one is killed, cut off or paused.
 
     Attributes:
         host: Name of this entry's host.
@@ -52,93 +52,93 @@
         self._order = [self.host]
 
     def __len__(self) -> int:
-        """Return the number of entries that are listed, this one too."""
+        """Return the number of listed entries, including this one."""
         return len(self._order)
 
     def __contains__(self, host: str) -> bool:
         return host in self._addresses
 
     def replace(self, addresses: Mapping[str, Address]) -> None:
-        """Take in a full list of the other entries."""
+        """Apply a full list of the other entries."""
         self._addresses = dict(addresses)
         self._sort()
 
     def update(self, addresses: Mapping[str, Address], gone: Iterable[str]) -> None:
-        """Take in entries that came, moved or left."""
+        """Apply entries that joined, moved or left."""
         self._addresses.update(addresses)
         for host in gone:
             self._addresses.pop(host, None)
         self._sort()
 
     def addresses(self) -> Mapping[str, Address]:
-        """Return where each of the other entries can be reached."""
+        """Return the address of each of the other entries."""
         return self._addresses
 
     @property
     def hosts(self) -> list[str]:
-        """Hosts of all entries that are listed, this one's too."""
+        """Hosts of all listed entries, including this one's."""
         return self._order
 
     @property
     def is_reader(self) -> bool:
-        """Whether this entry reads the store for others."""
-        return self._position < _READERS
+        """Whether this entry is one of those that may read the store for the others."""
+        return self._position < _READER_COUNT
 
     @property
     def reader_rank(self) -> int:
-        """Place among the readers: the first reads, the next ones stand in for those before."""
+        """Position among the readers: the first reads, each later one is a standby."""
         return self._position
 
     @property
     def is_first_reader(self) -> bool:
-        """Whether this entry reads while all is well."""
+        """Whether this entry is the one that normally reads the store."""
         return self._position == 0
 
     @property
     def depth(self) -> int:
-        """Levels between this entry and the store's readers; 0 for a reader."""
+        """Levels between this entry and the readers; 0 for a reader."""
         depth, position = 0, self._position
-        while position >= _READERS:
-            position = _above(position)
+        while position >= _READER_COUNT:
+            position = _parent(position)
             depth += 1
         return depth
 
     def upstream(self) -> list[str]:
-        """Return the hosts that tell this entry what they know."""
+        """Return the hosts from which this entry gets records."""
         if self.is_reader:
-            return [host for host in self._order[:_READERS] if host != self.host]
-        above = _above(self._position)
-        return [self._order[above], self._order[_partner(above)]]
+            return [host for host in self._order[:_READER_COUNT] if host != self.host]
+        parent = _parent(self._position)
+        return [self._order[parent], self._order[_sibling(parent)]]
 
     def downstream(self) -> dict[str, Address]:
-        """Return the entries that this one tells what it knows."""
+        """Return the entries to which this one forwards records."""
         position = self._position
-        rows = self._order[:_READERS] if position < _READERS else []
-        for place in (position, _partner(position)):
-            first = _READERS + place * _WIDTH
-            rows = rows + self._order[first : first + _WIDTH]
+        rows = self._order[:_READER_COUNT] if position < _READER_COUNT else []
+        for place in (position, _sibling(position)):
+            first = _READER_COUNT + place * _CHILDREN_PER_ENTRY
+            rows = rows + self._order[first : first + _CHILDREN_PER_ENTRY]
         return {host: self._addresses[host] for host in rows if host != self.host}
 
     def is_first_source_of(self, host: str) -> bool:
-        """Return whether this entry is the first of the two that tell another one.
+        """Return whether this entry is the first of the two parents of another one.
 
-        The store's readers have it from the store; they are told by others in case that fails.
+        Readers have none: they get records from the store, and from each other in case that fails.
         """
-        first = _READERS + self._position * _WIDTH
-        return host in self._order[first : first + _WIDTH]
+        first = _READER_COUNT + self._position * _CHILDREN_PER_ENTRY
+        return host in self._order[first : first + _CHILDREN_PER_ENTRY]
 
     def ask_after_s(self, bound_s: float, draw: float) -> float:
-        """Return the age of records from which this entry asks the store for itself.
+        """Return the age of records at which this entry reads the store itself.
 
         Args:
-            bound_s: Longest time for which it may miss a change of them.
-            draw: A number in [0, 1) that differs between entries.
+            bound_s: Longest time for which it may miss a change of records.
+            draw: Random number in [0, 1) that differs between entries.
         """
         if self.is_reader:
-            return bound_s * (_BACKUP_RATIO + self.reader_rank * _BACKUP_RATIO_STEP)
-        step = max(0, self.depth - 1) * _ASK_RATIO_STEP
-        ratio = min(_MOST_ASK_RATIO, _ASK_RATIO + step)
-        return bound_s * (ratio + draw * _ASK_SPREAD_RATIO)
+            return bound_s * (_STANDBY_RATIO + self.reader_rank * _STANDBY_RATIO_STEP)
+        step = max(0, self.depth - 1) * _FALLBACK_RATIO_STEP
+        ratio = min(_MAX_FALLBACK_RATIO, _FALLBACK_RATIO + step)
+        return bound_s * (ratio + draw * _FALLBACK_SPREAD_RATIO)
 
     @property
     def _position(self) -> int:
@@ -149,11 +149,11 @@
         self._order = sorted(hosts, key=lambda host: xxhash.xxh3_64_intdigest(host.encode()))
 
 
-def _above(position: int) -> int:
-    """Return the place of the entry above one that is no reader."""
-    return (position - _READERS) // _WIDTH
+def _parent(position: int) -> int:
+    """Return the position of the first parent of an entry that is not a reader."""
+    return (position - _READER_COUNT) // _CHILDREN_PER_ENTRY
 
 
-def _partner(position: int) -> int:
-    """Return the place of the entry that serves the same ones below."""
+def _sibling(position: int) -> int:
+    """Return the position of the entry that serves the same children."""
     return position ^ 1
--- a/src/beryljunction/routing/fleet.py
+++ b/src/beryljunction/routing/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's settings as routing decisions see them: routes, services, client accounts."""
+"""The fleet's settings for routing: routes, services and client accounts."""
 
 import enum
 from collections.abc import Iterable, Mapping
@@ -17,12 +17,12 @@
 
 
 class Repeat(enum.Enum):
-    """What may be done again with a request of a route.
+    """Whether the requests of a route may be repeated.
 
     Attributes:
-        FREELY: Idempotent: it may run more than once.
-        RESUME: A stream that another endpoint may take up after the last event seen.
-        NEVER: It runs at most once for each attempt of its caller.
+        FREELY: Requests are idempotent and may run more than once.
+        RESUME: Another endpoint may continue a stream after the last event seen.
+        NEVER: A request runs at most once for each attempt of its caller.
     """
 
     FREELY = "freely"
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """One target of a route that is split over services."""
+    """One target of a route whose traffic is split over services."""
 
     service: str
     weight: float
@@ -40,13 +40,13 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of a host and path prefix go, and how they may be handled.
+    """Where requests for a host and path prefix go, and how they are handled.
 
     Attributes:
-        targets: Services with their shares; never empty.
+        targets: Services with their weights; never empty.
         streamed: Whether answers are event streams.
-        max_attempts: Endpoints that one request may be sent to.
-        priority: Rank, 0 is the most urgent.
+        max_attempts: Number of endpoints that one request may be sent to.
+        priority: Rank; 0 is the most urgent.
     """
 
     name: str
@@ -61,24 +61,24 @@
     allows_anonymous: bool
 
     def service_for(self, draw: float) -> str:
-        """Return the service that a number in [0, 1) falls to."""
-        left = draw * sum(target.weight for target in self.targets)
+        """Return the service that a random number in [0, 1) selects by weight."""
+        remaining = draw * sum(target.weight for target in self.targets)
         for target in self.targets:
-            left -= target.weight
-            if left < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return self.targets[-1].service
 
 
 @attrs.frozen
 class Service:
-    """A group of endpoints that serve the same.
+    """A group of interchangeable endpoints.
 
     Attributes:
-        is_engine: Whether its endpoints serve a model and keep prompt prefixes.
+        is_engine: Whether its endpoints serve a model and cache prompt prefixes.
         can_fetch: Whether its endpoints can fetch cached prefixes from each other.
         cold_start_s: How long an endpoint warms up after its start.
-        cold_per_s: Requests a second that an endpoint bears meanwhile; 0 for no limit.
+        cold_per_s: Requests per second that a cold endpoint can handle; 0 for no limit.
     """
 
     name: str
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class Account:
-    """A client account; `priority` goes before the route's when it is set."""
+    """A client account; its `priority`, if set, overrides the route's."""
 
     name: str
     priority: int | None
@@ -98,9 +98,9 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What callers may send, and how long they may take.
+    """What callers may send and how long they may take.
 
-    The defaults hold until the first settings are read; they are the usual ones of HTTP servers.
+    The defaults, which are usual for HTTP servers, hold until the first settings are read.
     """
 
     header_bytes: int = 16_384
--- a/src/beryljunction/routing/knownendpoint.py
+++ b/src/beryljunction/routing/knownendpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as it describes itself, and what this process knows of its present start."""
+"""An endpoint's own record, and what this process knows of its current incarnation."""
 
 import collections
 import math
@@ -7,39 +7,40 @@
 
 __all__ = ["EndpointRecord", "KnownEndpoint", "LoadReport", "Pace"]
 
-# A load that an endpoint reported says little after some requests have come and gone, which last a
-# second or two; over this time its part that other entries caused fades out.
-_REPORT_FADES_S = 2.0
-# From this age on a report says nothing of what came since: as many requests as it has on average.
-_UNSEEN_S = 1.0
-# Weight of a new measurement of an endpoint's pace: about the last ten count.
+# Requests last a second or two, so a reported load is soon outdated. Over this time, the part of it
+# that other entries caused decays to zero.
+_REPORT_DECAY_S = 2.0
+# Age of a report at which the requests that came after it are estimated at the mean load.
+_REPORT_OUTDATED_S = 1.0
+# Weight of a new sample of an endpoint's pace; about the last ten samples count.
 _PACE_WEIGHT = 0.1
-# A pace that was not measured for this long says nothing any more, so that an endpoint that was
-# slow gets requests again and can show whether it still is.
-_PACE_KEPT_S = 3.0
-# Weight of a new outcome in the share of bad ones: about the last four count.
+# A pace without new samples for this long is ignored, so that an endpoint that was slow gets
+# requests again and can show whether it still is.
+_PACE_TTL_S = 3.0
+# Weight of a new outcome in the share of bad ones; about the last four outcomes count.
 _FAULT_WEIGHT = 0.25
-# Without new outcomes the share halves in this time, so that a grey endpoint is tried again.
-_FAULT_HALVES_S = 2.0
-# An endpoint that has kept a request of this process waiting for so long hangs, or reads several
-# of the longest prompts; others are better off elsewhere until it answers.
+# Half-life of that share without new outcomes, so that a failing endpoint is tried again.
+_FAULT_HALF_LIFE_S = 2.0
+# An endpoint that keeps a request of this process waiting for longer hangs, or is processing
+# several of the longest prompts; other requests are better sent elsewhere until it answers.
 _STALL_S = 1.0
-# First time that a failed endpoint is passed over, doubled with each further failure. Short, since
-# passing over a sound one costs its cached prefixes.
+# How long an endpoint is skipped after a first failure; each further failure doubles the time. It
+# is short, since skipping a healthy endpoint costs its cached prefixes.
 _SUSPECT_S = 0.5
-_SUSPECT_MOST_S = 4.0
-_SUSPECT_DOUBLINGS = 3
+_MAX_SUSPECT_S = 4.0
+_MAX_SUSPECT_DOUBLINGS = 3
 
 
 @attrs.frozen
 class EndpointRecord:
-    """What an endpoint says of itself.
+    """Record that an endpoint publishes about itself.
 
     Attributes:
-        born_ms: Unix milliseconds of its start; another start under the same id knows nothing.
-        slots: Requests that it runs at the same time.
-        sequence: Number of the record among those of its start.
-        cold_ms: How much longer it is warming up; None where it says nothing that can be used.
+        born_ms: Unix milliseconds of its start; another incarnation under the same id has no state
+            of this one.
+        slots: Number of requests that it runs concurrently.
+        sequence: Number of the record among those of its incarnation.
+        cold_ms: Remaining warm-up time; None if the record states no usable value.
     """
 
     endpoint_id: str
@@ -53,17 +54,17 @@
     sequence: int = 0
 
     def is_same_start(self, other: "EndpointRecord") -> bool:
-        """Return whether both are of one start at one address."""
+        """Return whether both records are of one incarnation at one address."""
         mine = (self.endpoint_id, self.born_ms, self.address, self.service)
         return mine == (other.endpoint_id, other.born_ms, other.address, other.service)
 
 
 @attrs.frozen
 class LoadReport:
-    """Load that an endpoint stated in an answer, to this entry or to one that told of it.
+    """Load that an endpoint stated in an answer, to this entry or to one that shared it.
 
     Attributes:
-        own: Requests of this process that the endpoint had then.
+        own: Requests of this process that the endpoint had at that time.
     """
 
     running: int
@@ -74,9 +75,9 @@
 
 @attrs.define
 class Pace:
-    """Time that an endpoint takes for one piece of work, smoothed.
+    """Smoothed time that an endpoint takes for one unit of work.
 
-    A piece is an event of a stream, or a whole call of a plain service; both are comparable among
+    A unit is one event of a stream, or a whole call of a plain service; both are comparable among
     the endpoints of a service.
     """
 
@@ -84,16 +85,16 @@
     at_s: float = -math.inf
 
     def note(self, took_ms: float, now_s: float) -> None:
-        """Take in a measurement."""
-        if now_s - self.at_s > _PACE_KEPT_S:
+        """Add a sample."""
+        if now_s - self.at_s > _PACE_TTL_S:
             self.mean_ms = took_ms
         else:
             self.mean_ms += _PACE_WEIGHT * (took_ms - self.mean_ms)
         self.at_s = now_s
 
     def is_fresh(self, now_s: float) -> bool:
-        """Return whether it was measured a short while ago."""
-        return now_s - self.at_s <= _PACE_KEPT_S
+        """Return whether the last sample is recent."""
+        return now_s - self.at_s <= _PACE_TTL_S
 
 
 @attrs.define
@@ -104,36 +105,35 @@
     _at_s: float = -math.inf
 
     def note(self, is_bad: bool, now_s: float) -> None:
-        """Take in an outcome."""
+        """Add an outcome."""
         ratio = self.at(now_s)
         self._ratio = ratio + _FAULT_WEIGHT * (float(is_bad) - ratio)
         self._at_s = now_s
 
     def at(self, now_s: float) -> float:
-        """Return the share now."""
+        """Return the share at this time."""
         if self._ratio == 0.0:
             return 0.0
-        return float(self._ratio * 0.5 ** ((now_s - self._at_s) / _FAULT_HALVES_S))
+        return float(self._ratio * 0.5 ** ((now_s - self._at_s) / _FAULT_HALF_LIFE_S))
 
 
 @attrs.define(eq=False)
 class KnownEndpoint:
-    """An endpoint with what this process knows of its present start.
+    """An endpoint and what this process knows of its current incarnation.
 
     Attributes:
         in_flight: Requests of this process that it has.
-        reading_tokens: Prompt tokens that it is believed to read for this process right now.
-        waits: When each request was sent that has no answer yet.
-        lapses_s: Until when it is kept without a record, which an outage of the store may have
-            let expire; None while the record is there.
+        reading_tokens: Prompt tokens that it is estimated to be prefilling for this process.
+        waits: Send time of each request that has no answer yet.
+        lapses_s: Until when it is kept without a record, which may have expired in an outage of the
+            store; None while the record exists.
         is_evacuated: Whether its availability zone gets no new requests.
-        leaving_s: Unix seconds at which it first said in an answer that it leaves; None where it
-            has not.
-        paused_until_s: Until when it wants no requests of this process, by its own word.
-        serving_since_s: From when it has got requests; minus infinity for all the time.
-        cold_until_s: When it will have warmed up, by its own word.
-        may_be_cold_s: When it last may have started anew or cooled down without a word of it.
-        cold_sends_s: When this process sent it requests in the last second or so.
+        leaving_s: Unix seconds at which an answer first said that it is leaving; None if none did.
+        paused_until_s: Until when it has asked this process to send it no requests.
+        serving_since_s: Since when it gets requests; minus infinity if it always did.
+        cold_until_s: When it will have warmed up, according to its records.
+        may_be_cold_s: When it last may have restarted or become cold without stating so.
+        cold_sends_s: When this process sent it requests during about the last second.
     """
 
     record: EndpointRecord
@@ -156,88 +156,88 @@
 
     @property
     def start(self) -> tuple[str, int]:
-        """What tells this start from any other."""
+        """Id and start time, which identify the incarnation."""
         return self.record.endpoint_id, self.record.born_ms
 
     @property
     def is_open(self) -> bool:
-        """Whether it may get new requests, by its own word and the operator's."""
+        """Whether it may get new requests: it is neither leaving nor evacuated by the operator."""
         return not (self.has_said_leaving or self.is_evacuated)
 
     @property
     def has_said_leaving(self) -> bool:
-        """Whether it leaves by plan, as its record or an answer of it says."""
+        """Whether its record or one of its answers says that it is leaving."""
         return self.record.is_draining or self.leaving_s is not None
 
     def note_pause(self, pause_s: float, now_s: float) -> None:
-        """Take in for how long it wants no requests; a shorter word doesn't end a longer one."""
+        """Record a pause that it asked for; a shorter pause doesn't end a longer one."""
         self.paused_until_s = max(self.paused_until_s, now_s + pause_s)
 
     def is_paused(self, now_s: float) -> bool:
-        """Return whether it wants no requests now."""
+        """Return whether it has asked to get no requests now."""
         return now_s < self.paused_until_s
 
     def has_left_since(self, born_ms: int) -> bool:
-        """Return whether an answer said that it leaves when a start of that birth was there."""
+        """Return whether an answer later than this start time said that it is leaving."""
         return self.leaving_s is not None and born_ms <= self.leaving_s * 1000
 
     def note_cold(self, cold_ms: int | None, now_s: float) -> None:
-        """Take in how much longer it is warming up; None where that is not known."""
+        """Record its remaining warm-up time; None if that is not known."""
         if cold_ms is None:
             self.may_be_cold_s = now_s
         else:
             self.cold_until_s = now_s + cold_ms / 1000 if cold_ms else -math.inf
 
     def load(self, now_s: float) -> float:
-        """Return the estimated number of requests that it has, of all entries."""
+        """Return the estimated number of requests that it has from all entries."""
         if self.report is None:
             return float(self.in_flight)
         others = max(0, self.report.running + self.report.waiting - self.report.own)
-        freshness = max(0.0, 1.0 - (now_s - self.report.at_s) / _REPORT_FADES_S)
+        freshness = max(0.0, 1.0 - (now_s - self.report.at_s) / _REPORT_DECAY_S)
         return self.in_flight + others * freshness
 
     def unseen(self, mean_load: float, now_s: float) -> float:
-        """Return the expected number of requests that came to it since its load was stated.
+        """Return the expected number of requests that it got since its last load report.
 
         Args:
-            mean_load: Mean of its service.
+            mean_load: Mean load of its service.
             now_s: Time on the clock of the report.
         """
-        age_s = now_s - self.report.at_s if self.report is not None else _UNSEEN_S
-        return mean_load * min(1.0, max(0.0, age_s / _UNSEEN_S))
+        age_s = now_s - self.report.at_s if self.report is not None else _REPORT_OUTDATED_S
+        return mean_load * min(1.0, max(0.0, age_s / _REPORT_OUTDATED_S))
 
     @property
     def stated_load(self) -> int:
-        """Requests that it had when it last stated its load; 0 where it has not."""
+        """Requests that it had according to its last load report; 0 without a report."""
         return self.report.running + self.report.waiting if self.report is not None else 0
 
     def hear_load(self, requests: int, at_s: float) -> None:
-        """Take in a load that it stated to another entry, unless a later one is known."""
+        """Record a load that it stated to another entry, unless a later one is known."""
         if self.report is None or at_s > self.report.at_s:
             self.report = LoadReport(requests, 0, min(self.in_flight, requests), at_s)
 
     def note_failure(self, now_s: float) -> None:
-        """Pass it over for a moment; longer with each failure that follows."""
-        doublings = min(self.failures, _SUSPECT_DOUBLINGS)
-        self.suspect_until_s = now_s + min(_SUSPECT_MOST_S, _SUSPECT_S * 2**doublings)
+        """Skip it for a while, longer with each further failure."""
+        doublings = min(self.failures, _MAX_SUSPECT_DOUBLINGS)
+        self.suspect_until_s = now_s + min(_MAX_SUSPECT_S, _SUSPECT_S * 2**doublings)
         self.failures += 1
-        # It may have crashed, and have started again before its record says so.
+        # It may have crashed and restarted before its record says so.
         self.may_be_cold_s = now_s
 
     def note_answer(self) -> None:
-        """Trust it again."""
+        """Reset the failures and stop skipping it."""
         self.failures = 0
         self.suspect_until_s = -math.inf
 
     def end_wait(self, request: object, now_s: float) -> None:
-        """Note that a request waits no longer; one that waited for too long counts as bad."""
+        """Record that a request no longer waits; too long a wait counts as a bad outcome."""
         if now_s - self.waits.pop(request) > _STALL_S:
             self.faults.note(is_bad=True, now_s=now_s)
 
     def is_stalled(self, now_s: float) -> bool:
-        """Return whether a request has waited there for its answer for too long."""
+        """Return whether a request has been waiting for its answer for too long."""
         return any(now_s - sent_s > _STALL_S for sent_s in self.waits.values())
 
     def is_suspect(self, now_s: float) -> bool:
-        """Return whether it failed a moment ago."""
+        """Return whether it is skipped because of a recent failure."""
         return now_s < self.suspect_until_s
--- a/src/beryljunction/routing/loadnews.py
+++ b/src/beryljunction/routing/loadnews.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of the load of endpoints."""
+"""Load reports of endpoints that entries share with each other."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,19 +8,19 @@
 
 __all__ = ["LoadNews", "hear_loads", "loads_to_tell"]
 
-# An older load is not told: by the time it arrives most of those requests have ended.
-_MOST_AGE_S = 2.0
-# Rows of one message, 30 bytes each: with its frame and a moved session it has 490 bytes, and 8
-# messages a second stay under the 4 KB/s of control.
-_MOST_ROWS = 10
+# Older loads are not shared: most of those requests would have ended on arrival.
+_MAX_AGE_S = 2.0
+# Rows per message, 30 bytes each. With its frame and a moved session a message has 490 bytes, so
+# 8 messages per second stay below the limit of 4 KB/s for control traffic.
+_MAX_ROWS = 10
 
 
 @attrs.frozen
 class LoadNews:
-    """Requests that an endpoint had by its own word, whoever sent them.
+    """Load that an endpoint stated: its requests from all entries.
 
     Attributes:
-        start: Id and birth of the endpoint.
+        start: Id and start time of the endpoint.
         age_s: Time since the endpoint stated it.
     """
 
@@ -30,26 +30,25 @@
 
 
 def loads_to_tell(rows: Iterable[KnownEndpoint], now_s: float) -> tuple[LoadNews, ...]:
-    """Return the latest loads above the mean of their service, own ones and heard ones.
-
-    Load: many entries that each send an endpoint a request now and then. Harm: an entry learns an
-    endpoint's load from that endpoint's answers only, once in 20 s before 86 endpoints, so sessions
-    that share a home pile up there unseen; of 230 requests a second that 68 entries place, 1.75 in
-    100 went to endpoints above the fleet's bound. Told of the full ones, and telling them on, 0.77
-    do (testing/imbalance_world.py, means of 8 seeds). Emptier ones are left out: sending there does
-    no harm.
+    """Return the latest loads above the mean of their service, both own and received ones.
+
+    Without sharing, an entry learns the load of an endpoint only from that endpoint's answers, once
+    in 20 s with 86 endpoints, so sessions with the same home endpoint overload it unnoticed. With
+    68 entries placing 230 requests per second, 1.75 in 100 went to endpoints above the fleet's
+    bound; with sharing and forwarding, 0.77 do (testing/imbalance_world.py, means of 8 seeds).
+    Lower loads are left out, since sending requests to those endpoints does no harm.
     """
-    fresh = [row for row in rows if row.report and now_s - row.report.at_s < _MOST_AGE_S]
+    fresh = [row for row in rows if row.report and now_s - row.report.at_s < _MAX_AGE_S]
     means = _means(fresh)
-    full = [row for row in fresh if row.stated_load > means[row.record.service]]
-    full.sort(key=lambda row: _age_s(row, now_s))
+    above_mean = [row for row in fresh if row.stated_load > means[row.record.service]]
+    above_mean.sort(key=lambda row: _age_s(row, now_s))
     return tuple(
-        LoadNews(row.start, row.stated_load, _age_s(row, now_s)) for row in full[:_MOST_ROWS]
+        LoadNews(row.start, row.stated_load, _age_s(row, now_s)) for row in above_mean[:_MAX_ROWS]
     )
 
 
 def hear_loads(rows: Sequence[KnownEndpoint], loads: Iterable[LoadNews], now_s: float) -> None:
-    """Take in what another entry tells; what is known here from later on stays."""
+    """Apply loads that another entry shared; later reports that are known here stay."""
     known = {row.start: row for row in rows}
     for load in loads:
         row = known.get(load.start)
--- a/src/beryljunction/routing/mechanisms.py
+++ b/src/beryljunction/routing/mechanisms.py
@@ -1,4 +1,4 @@
-"""Which mechanisms of the routing decisions are on; operators may switch each off."""
+"""Mechanisms of the routing decisions, each of which operators can switch off."""
 
 import attrs
 
@@ -10,17 +10,17 @@
 
 
 def _switch(guards: str) -> bool:
-    """Return a field that is on unless it is switched off."""
+    """Return a switch that is on by default."""
     switch: bool = attrs.field(default=True, metadata={"guards": guards})
     return switch
 
 
 @attrs.frozen
 class Mechanism:
-    """One switch, as operators see it.
+    """One switch, as shown to operators.
 
     Attributes:
-        guards: What callers lose without it, in one line.
+        guards: What the mechanism does for callers, in one line.
     """
 
     name: str
@@ -30,34 +30,36 @@
 
 @attrs.frozen
 class Mechanisms:
-    """The switches; what is off is not entered at all."""
-
-    warmth: bool = _switch("a session goes where this entry knows its prefix to be cached")
-    home: bool = _switch("entries that never speak agree on a session's engine by its hash")
-    bound: bool = _switch("an engine well above the mean load is passed over")
-    bound_margin: bool = _switch("the bound falls with the age of what is known of a load")
-    patience: bool = _switch("an engine that will read prompts for long is passed over")
-    fetch: bool = _switch("a session that moves fetches its prefix in place of reading it")
-    moved_news: bool = _switch("entries tell each other of sessions that moved")
-    load_news: bool = _switch("entries tell each other of engines above the mean load")
-    learned_pace: bool = _switch("the reading pace of engines is measured, not assumed")
-    slowness: bool = _switch("an endpoint slower than its peers counts as fuller")
-    fault_shares: bool = _switch("an endpoint that fails more than its peers is passed over")
-    stall: bool = _switch("an endpoint that keeps a request waiting is passed over")
-    suspects: bool = _switch("an endpoint that failed a moment ago is passed over")
-    second_sends: bool = _switch("a request that may be repeated goes to another endpoint")
-    retry_pauses: bool = _switch("a refused caller is told a pause that depends on room")
-    zone_penalty: bool = _switch("plain calls prefer endpoints of their availability zone")
-    shared_reads: bool = _switch("a few entries read the store and pass on what it tells")
-    peer_help: bool = _switch("an entry that the store turns away asks its peers")
+    """The switches; the code of a mechanism that is off is skipped."""
+
+    warmth: bool = _switch("a session goes to an engine that is known to have its prefix cached")
+    home: bool = _switch("entries agree on a session's engine by its hash, without communication")
+    bound: bool = _switch("an engine well above the mean load is skipped")
+    bound_margin: bool = _switch(
+        "the load bound of an engine falls with the age of its load report"
+    )
+    patience: bool = _switch("an engine with a long queue of prompts to prefill is skipped")
+    fetch: bool = _switch("a session that moves fetches its prefix instead of recomputing it")
+    moved_news: bool = _switch("entries tell each other about sessions that moved")
+    load_news: bool = _switch("entries tell each other about engines above the mean load")
+    learned_pace: bool = _switch("the prefill rate of engines is measured, not assumed")
+    slowness: bool = _switch("the load of an endpoint slower than its peers counts as higher")
+    fault_shares: bool = _switch("an endpoint that fails more than its peers is skipped")
+    stall: bool = _switch("an endpoint that keeps a request waiting too long is skipped")
+    suspects: bool = _switch("an endpoint that failed a moment ago is skipped")
+    second_sends: bool = _switch("a failed request that may be repeated goes to another endpoint")
+    retry_pauses: bool = _switch("the retry delay for refused callers depends on free capacity")
+    zone_penalty: bool = _switch("plain calls prefer endpoints in the entry's availability zone")
+    shared_reads: bool = _switch("a few entries read the store and forward its records")
+    peer_help: bool = _switch("an entry that the store rejects asks its peers")
 
     @classmethod
     def parse(cls, text: str) -> "Mechanisms":
-        """Read switches, as in "fetch=off,stall=off"; those that are not named are on.
+        """Parse switches such as "fetch=off,stall=off"; those that are not named are on.
 
         Raises:
-            SettingsError: With one line for each that is misspelt, named twice or has another
-                value than on or off.
+            SettingsError: With one line for each switch that is misspelt, named twice or has a
+                value other than on or off.
         """
         values: dict[str, bool] = {}
         problems = []
@@ -77,7 +79,7 @@
 
     @property
     def off(self) -> tuple[str, ...]:
-        """Names of those that are off."""
+        """Names of the mechanisms that are off."""
         return tuple(row.name for row in mechanisms_of(self) if not row.is_on)
 
 
@@ -86,7 +88,7 @@
 
 
 def mechanisms_of(mechanisms: Mechanisms) -> tuple[Mechanism, ...]:
-    """Return every switch with its state and what it guards."""
+    """Return every switch with its state and description."""
     return tuple(
         Mechanism(field.name, getattr(mechanisms, field.name), field.metadata["guards"])
         for field in attrs.fields(Mechanisms)
--- a/src/beryljunction/routing/peers.py
+++ b/src/beryljunction/routing/peers.py
@@ -1,4 +1,4 @@
-"""Which other entry to ask for what the store does not tell this one."""
+"""Which other entries to ask while the store is out of reach, and which to send news to."""
 
 import random
 from collections.abc import Mapping
@@ -9,21 +9,21 @@
 
 Address = tuple[str, int]
 
-# Peers are asked from this share of the bound on, 2 of 5 s. The age stays under 1.6 s while the
-# store answers, and readiness is given up at 3 s, so there is time for two questions before.
+# Fraction of the bound (2 of 5 s) at which peers are asked. The age stays under 1.6 s while the
+# store answers, and the entry stops being ready at 3 s, so there is time for two questions.
 _ASK_RATIO = 0.4
-# Peers that are remembered: enough that some are alive after a zone is lost, and 4 KB in all.
-_MOST_PEERS = 64
-# A peer that does not answer, or is out of touch itself, is passed over for this long.
-_PASSED_OVER_S = 2.0
+# Peers that are remembered: enough that some survive the loss of a zone, and 4 KB in total.
+_MAX_PEERS = 64
+# How long a peer is skipped that does not answer or has lost the store itself.
+_SKIP_S = 2.0
 
 
 def needs_peers(age_s: float, revocation_s: float) -> bool:
     """Return whether the settings are so old that the store seems to be out of reach.
 
-    Load: the store turns some hosts away, or a link to it is cut, while their peers reach it. Harm:
-    callers of those hosts are refused, or move to another host and come late. A host that has read
-    nothing yet has no peers to ask either.
+    The store may reject some hosts, or a link to it may be down, while their peers reach it.
+    Without help from peers, callers of those hosts would be refused, or would be late after moving
+    to another host. A host that has read nothing yet has no peers to ask.
     """
     return _ASK_RATIO * revocation_s <= age_s < float("inf")
 
@@ -33,40 +33,41 @@
     """Addresses of the other entries, and which of them helped last.
 
     Args:
-        draw: Source of the choice, so that hosts which lose the store together don't all ask one.
+        draw: Random source of the choice, so that hosts which lose the store together don't all ask
+            the same entry.
     """
 
     _draw: random.Random
     _addresses: dict[str, Address] = attrs.field(factory=dict)
-    _passed_over: dict[str, float] = attrs.field(factory=dict)
-    _heard: dict[str, int] = attrs.field(factory=dict)
-    _lives: dict[str, str] = attrs.field(factory=dict)
+    _skipped_until_s: dict[str, float] = attrs.field(factory=dict)
+    _received: dict[str, int] = attrs.field(factory=dict)
+    _incarnations: dict[str, str] = attrs.field(factory=dict)
     _silent_until_s: dict[str, float] = attrs.field(factory=dict)
-    _helper: str | None = None
+    _last_helper: str | None = None
 
     def __len__(self) -> int:
         return len(self._addresses)
 
     def put(self, host: str, address: Address) -> None:
-        """Take in the address that an entry wrote when it started; it has heard nothing yet.
+        """Add the address that an entry published at its start; it has received no news yet.
 
-        Beyond the limit the entry at the front yields.
+        Beyond the limit, the entry whose turn was longest ago is removed.
         """
         self.remove(host)
         self._addresses[host] = address
-        while len(self._addresses) > _MOST_PEERS:
+        while len(self._addresses) > _MAX_PEERS:
             self.remove(next(iter(self._addresses)))
 
     def remove(self, host: str) -> None:
         """Forget an entry."""
         self._addresses.pop(host, None)
-        self._passed_over.pop(host, None)
-        self._heard.pop(host, None)
-        self._lives.pop(host, None)
+        self._skipped_until_s.pop(host, None)
+        self._received.pop(host, None)
+        self._incarnations.pop(host, None)
         self._silent_until_s.pop(host, None)
 
     def replace(self, addresses: Mapping[str, Address]) -> None:
-        """Take in a full list."""
+        """Apply a full list of the other entries."""
         for host in self._addresses.keys() - addresses.keys():
             self.remove(host)
         for host, address in addresses.items():
@@ -74,60 +75,60 @@
                 self.put(host, address)
 
     def in_turn(self) -> list[tuple[str, Address]]:
-        """Return all, those first whose turn was longest ago."""
+        """Return all entries, the one whose turn was longest ago first."""
         return list(self._addresses.items())
 
     def heard(self, host: str) -> int | None:
-        """Return up to which number of what is told to all an entry was told; None for nothing."""
-        return self._heard.get(host)
+        """Return the number up to which an entry has received the news; None for none."""
+        return self._received.get(host)
 
     def may_answer(self, host: str, now_s: float) -> bool:
-        """Return whether an entry is worth telling: it did not fail to answer a moment ago."""
+        """Return whether to send news to an entry: it has not failed to answer recently."""
         return host in self._addresses and self._silent_until_s.get(host, 0.0) <= now_s
 
     def take_turn(self, host: str) -> None:
-        """Put an entry behind all others."""
+        """Move an entry to the end of the turns."""
         self._addresses[host] = self._addresses.pop(host)
 
     def note_told(self, host: str, end: int) -> None:
-        """Note that an entry has heard all up to a number."""
+        """Record that an entry has received all news up to a number."""
         if host in self._addresses:
-            self._heard[host] = end
+            self._received[host] = end
 
     def note_silent(self, host: str, now_s: float) -> None:
-        """Note that an entry did not answer; what it was told is told again later.
+        """Record that an entry did not answer; its news is sent again later.
 
-        Load: a busy peer misses one message. Harm: were it passed over for questions too, an entry
-        that the store turns away would have nobody to ask, and refuse its callers for two seconds.
+        It is still asked for records: a busy peer may miss one message, and an entry that the store
+        rejects would otherwise have nobody to ask and refuse its callers for two seconds.
         """
-        self._silent_until_s[host] = now_s + _PASSED_OVER_S
+        self._silent_until_s[host] = now_s + _SKIP_S
 
     def greet(self, host: str, life: str) -> None:
-        """Take in that an entry is alive; one that has started again has heard nothing yet.
+        """Record that an entry is alive; one that has restarted has received no news yet.
 
-        Its own word comes within a fraction of a second of its start. By its record in the store
-        alone, which others read seconds later, prompts would be read again until then.
+        Its own message arrives within a fraction of a second of its start. Its record in the store
+        is read seconds later, and until then prompts would be recomputed.
         """
-        if self._lives.get(host) == life or host not in self._addresses:
+        if self._incarnations.get(host) == life or host not in self._addresses:
             return
-        self._lives[host] = life
-        self._heard.pop(host, None)
+        self._incarnations[host] = life
+        self._received.pop(host, None)
         self._silent_until_s.pop(host, None)
 
     def choose(self, now_s: float) -> tuple[str, Address] | None:
-        """Return the entry to ask: the one that helped last, else any; None for none."""
-        if self._helper in self._addresses:
-            return self._helper, self._addresses[self._helper]
-        hosts = [host for host in self._addresses if self._passed_over.get(host, 0.0) <= now_s]
+        """Return the entry to ask: the one that helped last, else a random one; None for none."""
+        if self._last_helper in self._addresses:
+            return self._last_helper, self._addresses[self._last_helper]
+        hosts = [host for host in self._addresses if self._skipped_until_s.get(host, 0.0) <= now_s]
         if not hosts:
             return None
         host = self._draw.choice(hosts)
         return host, self._addresses[host]
 
     def note(self, host: str, has_helped: bool, now_s: float) -> None:
-        """Note what asking an entry brought."""
+        """Record whether asking an entry helped."""
         if has_helped:
-            self._helper = host
+            self._last_helper = host
             return
-        self._helper = None
-        self._passed_over[host] = now_s + _PASSED_OVER_S
+        self._last_helper = None
+        self._skipped_until_s[host] = now_s + _SKIP_S
--- a/src/beryljunction/routing/placement.py
+++ b/src/beryljunction/routing/placement.py
@@ -1,4 +1,4 @@
-"""Chooses an endpoint; the plain way is to take the emptiest one, nearer ones first."""
+"""Chooses an endpoint; plain placement takes the least loaded one, nearby ones first."""
 
 import abc
 import random
@@ -13,9 +13,9 @@
 
 __all__ = ["Demand", "Placement", "PlainPlacement", "Reading"]
 
-# A plain endpoint in another availability zone counts as this much fuller (share of its slots):
-# the way there costs 0.5 to 1.4 ms of some 45 ms of work.
-_OTHER_ZONE_SHARE = 0.05
+# Added to the load of a plain endpoint in another availability zone, as a share of its slots: the
+# network path costs 0.5 to 1.4 ms of about 45 ms of work.
+_OTHER_ZONE_PENALTY = 0.05
 
 
 @attrs.frozen
@@ -23,8 +23,8 @@
     """What placement knows of a request.
 
     Attributes:
-        parts: Its prompt.
-        closed: Endpoints of its service that it may not go to; they count in the mean load.
+        parts: Parts of its prompt.
+        closed: Endpoints of its service that must not get it; they count in the mean load.
     """
 
     parts: PromptParts = PromptParts()
@@ -33,11 +33,11 @@
 
 @attrs.frozen
 class Reading:
-    """What an endpoint is to do with a prompt before its first token.
+    """How an endpoint is to prefill a prompt before its first token.
 
     Attributes:
-        source: Endpoint to fetch cached parts from; None for nowhere.
-        unread_tokens: Tokens that nobody is known to keep, and the request's own.
+        source: Endpoint to fetch cached parts from; None for none.
+        unread_tokens: Tokens that no endpoint is known to have cached, and the request's own.
     """
 
     source: KnownEndpoint | None = None
@@ -51,15 +51,15 @@
     def choose(
         self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
     ) -> KnownEndpoint | None:
-        """Return the endpoint that is to get the request; None when there is none."""
+        """Return the endpoint that is to get the request; None if there is none."""
 
     def reading(
         self, rows: Sequence[KnownEndpoint], chosen: KnownEndpoint, demand: Demand, now_s: float
     ) -> Reading:
-        """Return what the chosen endpoint is to read; called once a request is about to be sent.
+        """Return how the chosen endpoint is to prefill; called just before a request is sent.
 
         Args:
-            rows: Endpoints that can be reached, leaving ones too.
+            rows: Endpoints that can be reached, including leaving ones.
             chosen: The endpoint that gets the request.
             demand: What is known of the request.
             now_s: Time on the clock of the endpoints' loads.
@@ -68,21 +68,21 @@
 
     @abc.abstractmethod
     def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
-        """Take in how long an endpoint took to its answer's first byte.
+        """Record how long an endpoint took to the first byte of its answer.
 
         Args:
             service: The endpoint's service.
-            reading: What it was to read for it.
-            took_ms: Time from the sending.
+            reading: How it was to prefill the prompt.
+            took_ms: Time since the request was sent.
         """
 
 
 class PlainPlacement(Placement):
-    """The emptiest endpoint, nearer ones first.
+    """Chooses the least loaded endpoint and prefers the entry's own availability zone.
 
-    Load: many short calls to endpoints with few slots. Harm: a call that waits behind another takes
-    twice its time. Equal ones are drawn at random, so that entries which read the same loads don't
-    all pick the same.
+    With many short calls and few slots per endpoint, a call that waits behind another takes twice
+    its time. Ties are broken at random, so that entries which know the same loads don't all pick
+    the same endpoint.
     """
 
     def __init__(
@@ -98,15 +98,15 @@
     def choose(
         self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
     ) -> KnownEndpoint | None:
-        """Return the emptiest endpoint."""
+        """Return the least loaded endpoint."""
         loads = weighted_loads(rows, now_s, self._mechanisms)
-        return min(rows, key=lambda row: self._fullness(row, loads[row.start]), default=None)
+        return min(rows, key=lambda row: self._load_share(row, loads[row.start]), default=None)
 
     def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
-        """Do nothing: what is read here is short."""
+        """Do nothing: plain calls have no long prompt."""
 
-    def _fullness(self, row: KnownEndpoint, load: float) -> tuple[float, float]:
+    def _load_share(self, row: KnownEndpoint, load: float) -> tuple[float, float]:
         share = load / max(1, row.record.slots)
         if self._mechanisms.zone_penalty and row.record.availability_zone != self._zone:
-            share += _OTHER_ZONE_SHARE
+            share += _OTHER_ZONE_PENALTY
         return share, self._draw.random()
--- a/src/beryljunction/routing/refusing.py
+++ b/src/beryljunction/routing/refusing.py
@@ -1,4 +1,4 @@
-"""When a refused caller is to come back."""
+"""How long a refused caller should wait before a retry."""
 
 import math
 import random
@@ -8,19 +8,19 @@
 
 __all__ = ["retry_after_s"]
 
-# Callers who can be served elsewhere come back soon, while they can still be in time (aims are
-# 200 ms and up); the spread keeps those refused together from returning together.
+# Callers that can be served elsewhere retry soon enough to meet their latency target (200 ms and
+# up); the random spread keeps those refused together from returning together.
 _ROOM_PAUSE_S = 0.03
 _ROOM_SPREAD_S = 0.12
-# Where nobody has room, or this entry knows of nobody, a short pause would only be refused again.
+# If no endpoint has room or none is known, an early retry would only be refused again.
 _FULL_PAUSE_S = 0.25
 _FULL_SPREAD_S = 0.5
-# Callers honour a pause of up to a third of the time that they have left.
-_LEFT_SHARE = 1 / 3
-_LEAST_S = 0.01
-# A pause is told in hundredths of a second, rounded down: up, it could pass the caller's third.
+# Callers honour a pause of up to a third of their remaining time.
+_MAX_PAUSE_SHARE = 1 / 3
+_MIN_PAUSE_S = 0.01
+# Pauses are sent in hundredths of a second, rounded down: rounded up, one could exceed that third.
 _STEPS_PER_S = 100
-# An endpoint under this share of its slots has room for one that comes back.
+# An endpoint with a load below this share of its slots has room for a retry.
 _ROOM_SHARE = 0.8
 
 
@@ -33,14 +33,13 @@
 ) -> float:
     """Return the pause that a refused caller is told.
 
-    Load: one endpoint declines what others could take, or all of them are full. Harm: told to wait
-    as if all were full, callers come back late for nothing; told to hurry when all are, they are
-    refused twice.
+    If one endpoint declined a request that others could take, a long pause delays the caller for
+    nothing; if all endpoints are full, a short one leads to a second refusal.
 
     Args:
-        rows: Sound endpoints that have not declined the request.
-        left_s: Time that the caller still has; None where it has not said.
-        draw: Source of the spread.
+        rows: Healthy endpoints that have not declined the request.
+        left_s: Remaining time of the caller; None if it stated none.
+        draw: Random source of the spread.
         now_s: Time on the clock of the endpoints' loads.
         opens_in_s: Time until an endpoint takes requests at all.
     """
@@ -50,5 +49,5 @@
     )
     pause_s = max(pause_s, opens_in_s) + draw.random() * spread_s
     if left_s is not None:
-        pause_s = min(pause_s, left_s * _LEFT_SHARE)
-    return max(_LEAST_S, math.floor(pause_s * _STEPS_PER_S) / _STEPS_PER_S)
+        pause_s = min(pause_s, left_s * _MAX_PAUSE_SHARE)
+    return max(_MIN_PAUSE_S, math.floor(pause_s * _STEPS_PER_S) / _STEPS_PER_S)
--- a/src/beryljunction/routing/rendezvous.py
+++ b/src/beryljunction/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Order in which processes that never speak to each other agree."""
+"""Rendezvous hashing: processes agree on an order without communicating."""
 
 import xxhash
 
@@ -6,5 +6,5 @@
 
 
 def rendezvous_rank(key: str, name: str) -> int:
-    """Return the place of a name among others for a key; the lowest comes first."""
+    """Return the rank of a name for a key; the lowest rank comes first."""
     return xxhash.xxh3_64_intdigest(f"{key}/{name}".encode())
--- a/src/beryljunction/routing/warm_placement.py
+++ b/src/beryljunction/routing/warm_placement.py
@@ -1,4 +1,4 @@
-"""Places prompts where their prefix is cached, unless that engine carries too much."""
+"""Places prompts where their prefix is cached, unless that engine is overloaded."""
 
 import collections
 import math
@@ -15,35 +15,35 @@
 
 __all__ = ["WarmPlacement"]
 
-# An endpoint above this multiple of the mean, plus the allowance for small numbers, is passed over.
-# It stays under the fleet's bound of 2 x mean + 3, with room for requests that other entries have
-# sent since the last report.
+# An endpoint above this multiple of the mean load, plus an allowance for small numbers, is skipped.
+# This is below the fleet's bound of 2 x mean + 3 and leaves room for requests that other entries
+# have sent since the last report.
 _BOUND_RATIO = 1.6
 _BOUND_ALLOWANCE = 3.0
-# A fetch takes some 2 ms to set up; fewer tokens than this are read in that time.
-_LEAST_FETCHED_TOKENS = 96
-# What this entry has an engine read stands for some more that other entries send there.
-_OTHERS_FACTOR = 1.5
-# A request goes to the second endpoint in order when the first will be reading other prompts for
-# this much longer. Aims for a first token are 400 ms and up; less scatters sessions.
-_PATIENCE_MS = 250.0
-# Sessions whose place is remembered, and for how long (engines keep prefixes longer): at some 300
-# bytes each they take 1.2 MB at most.
-_MOST_PLACED = 4_096
-_KNOWN_S = 30.0
-# Sessions return every few seconds; by then most have come back to an endpoint that serves anew.
+# Fewer tokens than this are prefilled faster than a fetch is set up, which takes about 2 ms.
+_MIN_FETCHED_TOKENS = 96
+# Factor on an engine's prefill tokens from this entry, for those that other entries send there.
+_OTHER_ENTRIES_FACTOR = 1.5
+# A request goes to the second endpoint in order when the first one's prefill queue is longer by
+# more than this. Targets for a first token are 400 ms and up; a smaller value scatters sessions.
+_MAX_EXTRA_QUEUE_MS = 250.0
+# Sessions whose endpoint is remembered, and for how long (engines keep prefixes longer). At about
+# 300 bytes each they take 1.2 MB at most.
+_MAX_PLACED = 4_096
+_PLACED_TTL_S = 30.0
+# Sessions return every few seconds; most have come back to a returning endpoint within this time.
 _SETTLED_S = 15.0
 
 
 class WarmPlacement(Placement):
-    """Where the session's prefix lies, unless that endpoint carries too much.
+    """Chooses the endpoint that has the session's prefix cached, unless it is overloaded.
 
-    Load: sessions of thousands of prompt tokens return every few seconds. Harm: read again
-    elsewhere, a prefix of 6,000 tokens delays the first token, and every stream beside it, by some
-    160 ms. Rendezvous order makes entries that never speak to each other agree on a home; where
-    this entry knows the prefix to be goes first, so that an endpoint that is added takes new
-    sessions and none that is warm elsewhere. A session that has to move fetches its prefix from
-    where it was: 8,600 tokens take some 10 ms that way, and 225 ms to read.
+    Sessions with thousands of prompt tokens return every few seconds. Recomputing a prefix of 6,000
+    tokens elsewhere delays the first token, and every other stream of that engine, by about 160 ms.
+    The first endpoint in rendezvous order is the session's home, on which entries agree without
+    communicating. Endpoints known to have the prefix cached go before it, so that an added endpoint
+    takes new sessions and none that is cached elsewhere. A session that has to move fetches its
+    prefix from its last endpoint: 8,600 tokens take about 10 ms to fetch and 225 ms to recompute.
 
     Attributes:
         moved: Sessions that other entries would look for at another endpoint.
@@ -60,14 +60,14 @@
     def choose(
         self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
     ) -> KnownEndpoint | None:
-        """Return the first endpoint in order of warmth that is under the bound."""
+        """Return the first endpoint under the load bound, those with the prefix cached first."""
         if not rows:
             return None
         loads = weighted_loads(rows, now_s, self._mechanisms)
         order = self._order(rows, demand.parts, loads, now_s)
         bound = _load_bound(loads.values(), demand.closed, now_s)
-        # With a part of the service evacuated the bound is so close to the mean that a margin would
-        # send most sessions to their second endpoints, which fill up unseen.
+        # While part of the service is evacuated, the bound is so close to the mean that a margin
+        # would send most sessions to their second endpoints, which would fill up unnoticed.
         has_margin = self._mechanisms.bound_margin and not demand.closed
         open_rows = iter(self._under_bound(order, loads, bound, has_margin, now_s))
         first, second = next(open_rows, None), next(open_rows, None)
@@ -76,12 +76,12 @@
         pace = self.pace(first.record.service)
         if not self._mechanisms.patience:
             return first
-        if second and _queue_ms(first, pace) - _queue_ms(second, pace) > _PATIENCE_MS:
+        if second and _queue_ms(first, pace) - _queue_ms(second, pace) > _MAX_EXTRA_QUEUE_MS:
             return second
         return first
 
     def pace(self, service: str) -> ReadingPace:
-        """Return how fast the engines of a service read, as far as it was measured."""
+        """Return the learned prefill rate of a service's engines."""
         if not self._mechanisms.learned_pace:
             return ReadingPace()
         pace = self._paces.get(service)
@@ -92,11 +92,11 @@
     def reading(
         self, rows: Sequence[KnownEndpoint], chosen: KnownEndpoint, demand: Demand, now_s: float
     ) -> Reading:
-        """Return who is believed to keep more than the chosen endpoint, and what nobody keeps.
+        """Return where to fetch cached parts from, and how many tokens no endpoint has cached.
 
-        A session that this entry has not seen may have been placed by another one. That was then
-        most likely at the first endpoint in rendezvous order; asking one that keeps nothing costs
-        the set-up of a fetch only.
+        A session that this entry has not seen may have been placed by another one, most likely at
+        the first endpoint in rendezvous order. If that one has nothing cached, the attempt costs
+        only the set-up of a fetch.
         """
         parts = demand.parts
         here = self._warmth.kept_tokens(chosen.start, parts, now_s)
@@ -111,32 +111,31 @@
         if not self._mechanisms.fetch:
             return Reading(None, unread_tokens)
         if self._mechanisms.home and max(here, kept) < total and others:
-            keeper = _keeper(others, parts, now_s)
-            if keeper is not None and (kept <= here or _is_before(keeper, chosen, parts, now_s)):
-                source, kept = keeper, total
-        is_worth_it = kept - here >= _LEAST_FETCHED_TOKENS
+            holder = _likely_holder(others, parts, now_s)
+            if holder is not None and (kept <= here or _ranks_before(holder, chosen, parts, now_s)):
+                source, kept = holder, total
+        is_worth_it = kept - here >= _MIN_FETCHED_TOKENS
         return Reading(source if is_worth_it else None, unread_tokens)
 
     def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
-        """Measure the pace of reading; a prompt that was fetched in part says nothing of it."""
+        """Add a sample of the prefill rate, unless part of the prompt was fetched."""
         if reading.source is None:
             self.pace(service).note(reading.unread_tokens, took_ms)
 
     def learn(self, session: MovedSession, now_s: float) -> None:
-        """Take in where another entry has placed a session."""
+        """Record where another entry has placed a session."""
         if self._mechanisms.moved_news and self._mechanisms.warmth:
             self._warmth.note(session.start, session.part_ids, now_s)
 
     def joined(self, endpoint_id: str, now_s: float) -> None:
-        """Take in that an endpoint is new: it is the home of some sessions that lie elsewhere.
+        """Announce the sessions for which a new endpoint ranks before the one with their prefix.
 
-        Load: endpoints are added or replaced. Harm: entries that have not seen such a session take
-        the new endpoint for its home, and the one that is next in order, which may be new too, for
-        the one that keeps its prefix; it is read again.
+        Entries that have not seen such a session take the new endpoint for its home and the next
+        one in order, which may be new too, for the one with the prefix, so it would be recomputed.
         """
         for session, placed_s in self._placed.values():
             rank = _rank(session.part_ids)
-            if now_s - placed_s < _KNOWN_S and rank(endpoint_id) < rank(session.start[0]):
+            if now_s - placed_s < _PLACED_TTL_S and rank(endpoint_id) < rank(session.start[0]):
                 self.moved.note(session, now_s)
 
     def _note_placed(
@@ -147,7 +146,7 @@
         session = MovedSession(parts.ids, chosen.start)
         self._placed[parts.ids[-1]] = session, now_s
         self._placed.move_to_end(parts.ids[-1])
-        while len(self._placed) > _MOST_PLACED:
+        while len(self._placed) > _MAX_PLACED:
             self._placed.popitem(last=False)
         staying = [row for row in rows if row.is_open]
         if staying and _home(staying, parts) is not chosen:
@@ -160,7 +159,7 @@
         loads: Mapping[tuple[str, int], float],
         now_s: float,
     ) -> list[KnownEndpoint]:
-        """Return warm endpoints, then the others, each in rendezvous order of the session."""
+        """Return the endpoints with the prefix cached, then the others, in rendezvous order."""
         warm = self._warmth.warm(rows, parts, now_s)
         rank = _rank(parts.ids)
         if not self._mechanisms.home:
@@ -180,33 +179,33 @@
         if not has_margin:
             return [row for row in order if loads[row.start] < bound]
         mean = sum(loads.values()) / len(order)
-        return [row for row in order if loads[row.start] < bound - _margin(row, mean, now_s)]
+        return [row for row in order if loads[row.start] < bound - _unseen_margin(row, mean, now_s)]
 
 
 def _load_bound(loads: Collection[float], closed: Sequence[KnownEndpoint], now_s: float) -> float:
-    """Return the load from which an endpoint is passed over.
+    """Return the load from which an endpoint is skipped.
 
     Args:
         loads: Load of each endpoint that may get the request.
-        closed: Endpoints that may not; they count in the mean of the fleet's bound.
+        closed: Endpoints that must not get it; they count in the mean of the fleet's bound.
         now_s: Time on the clock of the loads.
     """
     total = sum(loads) + sum(row.load(now_s) for row in closed)
     return _BOUND_RATIO * total / (len(loads) + len(closed)) + _BOUND_ALLOWANCE
 
 
-def _margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
-    """Return by how much an endpoint may be fuller than it looks.
+def _unseen_margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
+    """Return the margin for requests that an endpoint got unseen since its last report.
 
-    An entry of many sees little of what the others send. The number that came since the last report
-    is that of a random process; its spread, the root of what is expected, is left free.
+    One entry of many sees little of what the others send. The number of such requests is random;
+    the margin is its standard deviation, the square root of the expected number.
     """
     return math.sqrt(row.unseen(mean, now_s))
 
 
 def _queue_ms(row: KnownEndpoint, pace: ReadingPace) -> float:
-    """Return for how long an endpoint will be reading prompts that it has already."""
-    return row.reading_tokens * _OTHERS_FACTOR / pace.tokens_per_ms
+    """Return how long an endpoint will take to prefill the prompts that it already has."""
+    return row.reading_tokens * _OTHER_ENTRIES_FACTOR / pace.tokens_per_ms
 
 
 def _home(rows: Sequence[KnownEndpoint], parts: PromptParts) -> KnownEndpoint:
@@ -216,34 +215,34 @@
 
 
 def _is_settled(row: KnownEndpoint, now_s: float) -> bool:
-    """Return whether it has served for so long that its sessions have found it."""
+    """Return whether it has served for long enough that its sessions have come back to it."""
     return now_s - row.serving_since_s > _SETTLED_S
 
 
-def _keeper(
+def _likely_holder(
     rows: Sequence[KnownEndpoint], parts: PromptParts, now_s: float
 ) -> KnownEndpoint | None:
-    """Return who most likely keeps a session that this entry has not seen.
+    """Return the endpoint that most likely has a session cached that this entry has not seen.
 
-    An endpoint that has just started, or whose zone was just taken back, has not read it yet: while
-    it was away the first of the others in rendezvous order did.
+    An endpoint that has just started, or whose zone's evacuation has just ended, has not prefilled
+    it yet; meanwhile the session went to the first of the others in rendezvous order.
     """
     settled = [row for row in rows if _is_settled(row, now_s)]
     return _home(settled or rows, parts) if rows else None
 
 
-def _is_before(
-    keeper: KnownEndpoint, chosen: KnownEndpoint, parts: PromptParts, now_s: float
+def _ranks_before(
+    holder: KnownEndpoint, chosen: KnownEndpoint, parts: PromptParts, now_s: float
 ) -> bool:
-    """Return whether other entries would have looked for the session at the keeper first."""
+    """Return whether other entries would have looked for the session at the holder first."""
     if not _is_settled(chosen, now_s):
         return True
     rank = _rank(parts.ids)
-    return rank(keeper.record.endpoint_id) < rank(chosen.record.endpoint_id)
+    return rank(holder.record.endpoint_id) < rank(chosen.record.endpoint_id)
 
 
 def _rank(part_ids: Sequence[str]) -> Callable[[str], int]:
-    """Return the place of an endpoint's id in the rendezvous order of a session."""
+    """Return a function from an endpoint's id to its rank in a session's rendezvous order."""
     session = part_ids[-1] if part_ids else ""
 
     def rank(endpoint_id: str) -> int:
--- a/src/beryljunction/routing/warmth.py
+++ b/src/beryljunction/routing/warmth.py
@@ -1,4 +1,4 @@
-"""What this entry believes of the prompt parts that engines keep, from what it has sent them."""
+"""Estimate of the prompt parts that engines have cached, from what this entry sent them."""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -9,21 +9,21 @@
 
 __all__ = ["PromptParts", "WarmthMap"]
 
-# A part counts as kept for this long after its last use. Engines keep parts for minutes while
-# their memory lasts; a belief that is wrong costs one read of the part.
-_KEPT_S = 30.0
-# Parts that are remembered; at some 400 bytes each they take 8 MB at most.
-_MOST_PARTS = 20_000
+# A part counts as cached for this long after its last use. Engines keep parts for minutes while
+# their memory lasts; a wrong estimate costs one prefill of the part.
+_CACHED_S = 30.0
+# Parts that are remembered; at about 400 bytes each they take 8 MB at most.
+_MAX_PARTS = 20_000
 
 
 @attrs.frozen
 class PromptParts:
-    """The parts of a prompt that other requests have too, in order.
+    """The parts of a prompt that it shares with other requests, in order.
 
     Attributes:
         ids: Ids of the parts.
         tokens: Tokens of each part.
-        own_tokens: Tokens of the part that is the request's own.
+        own_tokens: Tokens of the part that only this request has.
     """
 
     ids: tuple[str, ...] = ()
@@ -32,14 +32,14 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of all parts that other requests have too."""
+        """Tokens of all shared parts."""
         return sum(self.tokens)
 
 
 class WarmthMap:
-    """Remembers which start of an endpoint has read which part, and when.
+    """Remembers which endpoint incarnation has prefilled which part, and when.
 
-    Engines keep a part only behind all parts before it, so what counts is the leading parts.
+    Engines can reuse a part only together with all parts before it, so only leading parts count.
     """
 
     def __init__(self) -> None:
@@ -47,19 +47,19 @@
         self._parts = collections.OrderedDict()
 
     def note(self, start: tuple[str, int], part_ids: Iterable[str], now_s: float) -> None:
-        """Note that a start of an endpoint reads these parts."""
+        """Record that an endpoint prefills these parts."""
         for part in part_ids:
             self._parts.setdefault(part, {})[start] = now_s
             self._parts.move_to_end(part)
-        while len(self._parts) > _MOST_PARTS:
+        while len(self._parts) > _MAX_PARTS:
             self._parts.popitem(last=False)
 
     def kept_tokens(self, start: tuple[str, int], parts: PromptParts, now_s: float) -> int:
-        """Return how many leading tokens an endpoint is believed to keep."""
+        """Return how many leading tokens an endpoint is estimated to have cached."""
         kept = 0
         for part, tokens in zip(parts.ids, parts.tokens, strict=True):
             used_s = self._parts.get(part, {}).get(start)
-            if used_s is None or now_s - used_s > _KEPT_S:
+            if used_s is None or now_s - used_s > _CACHED_S:
                 break
             kept += tokens
         return kept
@@ -67,7 +67,7 @@
     def best_source(
         self, rows: Iterable[KnownEndpoint], parts: PromptParts, now_s: float
     ) -> tuple[KnownEndpoint | None, int]:
-        """Return the endpoint that keeps the most leading tokens, as believed, and their number."""
+        """Return the endpoint with the most leading tokens cached (estimate), and their number."""
         best, most = None, 0
         for row in rows:
             kept = self.kept_tokens(row.start, parts, now_s)
@@ -78,7 +78,7 @@
     def warm(
         self, rows: Sequence[KnownEndpoint], parts: PromptParts, now_s: float
     ) -> set[tuple[str, int]]:
-        """Return the starts that are believed to keep all parts."""
+        """Return the incarnations that are estimated to have all parts cached."""
         total = parts.shared_tokens
         readers = self._parts.get(parts.ids[-1], {}) if parts.ids else {}
         starts = {row.start for row in rows if row.start in readers}
