--- a/testing/imbalance_world.py
+++ b/testing/imbalance_world.py
@@ -1,4 +1,4 @@
-"""Many entries that place sessions on engines, each with an old and partial view of their load."""
+"""Simulates entries that place sessions on engines, each with an old, partial view of loads."""
 
 import heapq
 import itertools
@@ -21,13 +21,13 @@
 # An engine is over the fleet's bound when it holds more than this many times the mean, plus this.
 BOUND_RATIO = 2.0
 BOUND_ALLOWANCE = 3
-# An engine states its load with the head of its answer, this long after the request came.
+# An engine states its load in the head of its answer, this long after the request arrived.
 HEAD_S = 0.07
-# Pace at which an entry tells one peer after the other, and how many peers it knows.
+# Interval at which an entry updates one peer after the other, and how many peers it knows.
 NEWS_S = 0.125
 MOST_PEERS = 64
-# Until then the fleet fills up.
-SETTLED_S = 3.0
+# Requests before this time only warm the fleet up and are not counted.
+WARM_UP_S = 3.0
 
 
 @attrs.frozen
@@ -35,10 +35,10 @@
     """Size and load of a fleet.
 
     Attributes:
-        rate: Requests a second, of all entries.
-        sessions: Sessions for each engine; the first ones return more often.
-        tells: Whether entries tell each other of full engines.
-        evacuated: Engines that get no requests, and lower the mean of the fleet's bound.
+        rate: Requests per second from all entries.
+        sessions: Sessions per engine; the first ones return more often.
+        tells: Whether entries tell each other about engines above the mean load.
+        evacuated: Engines that get no requests and lower the mean in the fleet's bound.
         hot_share: Share of the requests that belong to one session.
     """
 
@@ -69,13 +69,13 @@
         self.numbers = itertools.count()
         self.placed = self.over = 0
 
-    def later(self, at_s, step, *args):
+    def schedule(self, at_s, step, *args):
         heapq.heappush(self.events, (at_s, next(self.numbers), step, args))
 
     def run(self):
         for entry in range(self.fleet.entries if self.fleet.tells else 0):
             turns = itertools.cycle(self.peers_of(entry))
-            self.later(self.draw.random() * NEWS_S, self.tell, entry, turns)
+            self.schedule(self.draw.random() * NEWS_S, self.tell, entry, turns)
         now_s = 0.0
         while (now_s := now_s + self.draw.expovariate(self.fleet.rate)) < self.fleet.length_s:
             while self.events[0:1] and self.events[0][0] <= now_s:
@@ -100,12 +100,12 @@
         name = row.record.endpoint_id
         self.held[name] += 1
         row.in_flight += 1
-        if now_s > SETTLED_S:
+        if now_s > WARM_UP_S:
             self.placed += 1
             mean = sum(self.held.values()) / len(self.held)
             self.over += self.held[name] > BOUND_RATIO * mean + BOUND_ALLOWANCE
-        self.later(now_s + HEAD_S, self.answer, row)
-        self.later(now_s + max(0.1, self.draw.lognormvariate(-0.2, 0.7)), self.end, row)
+        self.schedule(now_s + HEAD_S, self.answer, row)
+        self.schedule(now_s + max(0.1, self.draw.lognormvariate(-0.2, 0.7)), self.end, row)
 
     def answer(self, now_s, row):
         row.report = LoadReport(self.held[row.record.endpoint_id], 0, row.in_flight, now_s)
@@ -117,7 +117,7 @@
     def tell(self, now_s, entry, turns):
         peer = next(turns)
         hear_loads(self.rows[peer], loads_to_tell(self.rows[entry], now_s), now_s)
-        self.later(now_s + NEWS_S, self.tell, entry, turns)
+        self.schedule(now_s + NEWS_S, self.tell, entry, turns)
 
 
 def share_over_bound(fleet, seed):
--- a/testing/routing_fakes.py
+++ b/testing/routing_fakes.py
@@ -1,4 +1,4 @@
-"""Rows for tests of the routing decisions."""
+"""Builders of endpoints, routes and settings for tests of the routing decisions."""
 
 from beryljunction.routing import (
     Account,
--- a/testing/test_admitting.py
+++ b/testing/test_admitting.py
@@ -28,10 +28,10 @@
         ("path", "key", "reason"),
         [("/b/", "key", DenialReason.NO_ROUTE), ("/a/", "other", DenialReason.UNKNOWN_KEY)],
     )
-    def test_unknown_is_final_only_while_the_settings_are_fresh(self, path, key, reason):
-        """A route or key was added while this host was cut off from the store.
+    def test_denial_is_final_only_while_the_settings_are_fresh(self, path, key, reason):
+        """Guards against a final denial of a route or key added while this host was cut off.
 
-        A caller told "no such route" gives up for good; told to come back, it meets another host.
+        A caller told "no such route" gives up for good; told to retry, it reaches another host.
         """
         config = config_of(route_of("/a/"))
 
@@ -48,7 +48,7 @@
 
         assert denial == Denial(DenialReason.SETTINGS_TOO_OLD, is_final=False)
 
-    def test_anonymous_route_goes_on_through_an_outage(self):
+    def test_anonymous_route_is_served_during_an_outage(self):
         config = config_of(route_of("/a/", allows_anonymous=True))
 
         admitted = admit(config, lease_at(0.0), "shop.example", "/a/", None, 60.0)
@@ -61,7 +61,7 @@
 
         assert isinstance(admit(config, lease_at(), "shop.example", "/a/", None, 60.0), Admitted)
 
-    def test_nothing_is_denied_for_good_before_settings_are_read(self):
+    def test_denial_is_not_final_before_settings_are_read(self):
         denial = admit(None, lease_at(), "shop.example", "/a/", "key", 0.1)
 
         assert denial == Denial(DenialReason.NO_SETTINGS, is_final=False)
--- a/testing/test_attempt_plan.py
+++ b/testing/test_attempt_plan.py
@@ -11,10 +11,10 @@
 
 
 class TestAttemptPlan:
-    def test_request_that_may_have_run_is_never_sent_again(self):
-        """A payment's endpoint runs it and its answer is lost.
+    def test_non_repeatable_request_that_may_have_run_is_not_sent_again(self):
+        """Guards against a payment that runs twice because the answer to its first run was lost.
 
-        Sent again, it would run twice; called "not run", its caller would send it again.
+        It must not be reported as not run either, since its caller would send it again.
         """
         plan = plan_of(Repeat.NEVER, max_attempts=3)
         plan.before_send(0.0)
@@ -22,7 +22,7 @@
         assert plan.after(Outcome.FAILED) is Verdict.FAIL
 
     @pytest.mark.parametrize("repeat", [Repeat.FREELY, Repeat.RESUME])
-    def test_repeatable_request_goes_on_elsewhere(self, repeat):
+    def test_repeatable_request_is_sent_to_another_endpoint(self, repeat):
         plan = plan_of(repeat, max_attempts=2)
         plan.before_send(0.0)
 
@@ -30,20 +30,20 @@
         assert plan.before_send(0.0)
         assert plan.after(Outcome.FAILED) is Verdict.FAIL
 
-    def test_declined_request_has_not_run(self):
+    def test_declined_request_is_refused_as_not_run(self):
         plan = plan_of(Repeat.NEVER, max_attempts=1)
         plan.before_send(0.0)
 
         assert plan.after(Outcome.DECLINED) is Verdict.REFUSE
 
-    def test_declined_request_goes_on_within_the_route_s_number(self):
+    def test_declined_request_is_sent_again_up_to_max_attempts(self):
         plan = plan_of(Repeat.NEVER, max_attempts=2)
         plan.before_send(0.0)
 
         assert plan.after(Outcome.DECLINED) is Verdict.AGAIN
 
-    def test_declined_after_a_failure_is_not_called_not_run(self):
-        """The first endpoint broke off, the second declined; the first may have run it."""
+    def test_request_declined_after_a_failure_may_have_run(self):
+        """The first endpoint, whose answer broke off, may have run the request."""
         plan = plan_of(Repeat.FREELY, max_attempts=2)
         plan.before_send(0.0)
         plan.after(Outcome.FAILED)
@@ -51,14 +51,14 @@
 
         assert plan.after(Outcome.DECLINED) is Verdict.FAIL
 
-    def test_connection_that_could_not_be_made_costs_no_attempt(self):
+    def test_failed_connection_does_not_count_as_an_attempt(self):
         plan = plan_of(Repeat.NEVER, max_attempts=1)
 
         verdicts = [plan.after(Outcome.NOT_SENT) for _ in range(4)]
 
         assert verdicts == [Verdict.AGAIN] * 3 + [Verdict.REFUSE]
 
-    def test_error_of_the_last_endpoint_is_handed_on(self):
+    def test_error_of_the_last_endpoint_is_delivered(self):
         plan = plan_of(Repeat.FREELY, max_attempts=2)
         plan.before_send(0.0)
         assert plan.after(Outcome.ERRORED) is Verdict.AGAIN
@@ -66,7 +66,7 @@
 
         assert plan.after(Outcome.ERRORED) is Verdict.DELIVER
 
-    def test_second_sends_come_out_of_the_share(self):
+    def test_retries_use_up_the_retry_share(self):
         plan = plan_of(Repeat.FREELY, max_attempts=5, requests=5)
 
         assert [plan.before_send(0.0) for _ in range(3)] == [True, True, False]
--- a/testing/test_cold.py
+++ b/testing/test_cold.py
@@ -47,7 +47,7 @@
         assert sum(1 for share in shares if share) == serving
 
 
-class TestColdness:
+class TestIsCold:
     def test_endpoint_is_cold_for_as_long_as_it_says(self):
         share, row = share_for(hosts_of(2)), row_of()
 
@@ -59,7 +59,7 @@
 
         assert not share_for(hosts_of(2)).is_cold(row_of(), plain, 10.1)
 
-    def test_same_record_read_again_makes_it_no_colder(self):
+    def test_same_record_read_again_does_not_extend_the_warm_up(self):
         registry = EndpointRegistry()
         record = endpoint("a", cold_ms=3_000)
         row = registry.put(record, 10.0)
@@ -68,7 +68,7 @@
 
         assert not share_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
 
-    def test_endpoint_may_cool_down_again(self):
+    def test_endpoint_may_become_cold_again(self):
         registry = EndpointRegistry()
         row = registry.put(endpoint("a", sequence=1), 10.0)
 
@@ -76,8 +76,8 @@
 
         assert share_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
 
-    def test_endpoint_that_failed_may_have_started_anew(self):
-        """Guards against a crash that its record does not show yet, under the same id."""
+    def test_endpoint_that_failed_may_have_restarted(self):
+        """Guards against a restart under the same id that the record does not show yet."""
         row = row_of(cold_ms=0)
 
         row.note_failure(20.0)
@@ -85,7 +85,7 @@
         assert share_for(hosts_of(2)).is_cold(row, SERVICE, 22.9)
 
     @pytest.mark.parametrize("value", ["-5", "1e300", "NaN", "Infinity"])
-    def test_number_that_cannot_be_meant_counts_as_cold(self, value):
+    def test_unusable_warm_up_time_counts_as_cold(self, value):
         text = (
             '{"service":"engine","address":"10.0.0.1:9","zone":"a","slots":4,"state":"ready",'
             f'"cold-remaining-ms":{value}}}'
@@ -97,7 +97,7 @@
         assert record.cold_ms is None
         assert share_for(hosts_of(2)).is_cold(row, SERVICE, 12.9)
 
-    def test_value_of_another_type_is_another_writers_record(self):
+    def test_record_with_a_value_of_another_type_is_unusable(self):
         text = (
             '{"service":"engine","address":"10.0.0.1:9","zone":"a","slots":4,"state":"ready",'
             '"cold-remaining-ms":"soon"}'
@@ -106,8 +106,8 @@
         assert isinstance(decode_endpoint("a", text.encode()), Unusable)
 
 
-class TestSending:
-    def test_share_is_used_up_and_comes_back(self):
+class TestAllows:
+    def test_share_is_used_up_and_renewed_after_a_second(self):
         share, row = share_for(hosts_of(1)), row_of()
 
         for _ in range(18):
@@ -117,7 +117,7 @@
         assert not share.allows(row, SERVICE, 11.0)
         assert share.allows(row, SERVICE, 11.1)
 
-    def test_warm_endpoint_takes_any_number(self):
+    def test_warm_endpoint_has_no_limit(self):
         share, row = share_for(hosts_of(1)), row_of(cold_ms=0)
 
         for _ in range(50):
@@ -125,7 +125,7 @@
 
         assert share.allows(row, SERVICE, 10.0)
 
-    def test_requests_sent_before_it_was_known_to_be_cold_count(self):
+    def test_requests_sent_before_the_endpoint_was_known_to_be_cold_count(self):
         share, row = share_for(hosts_of(1)), row_of(cold_ms=0)
 
         for _ in range(18):
@@ -140,7 +140,7 @@
         assert not share.allows(row_of(), SERVICE, 10.0)
 
     def test_entry_that_has_just_started_sends_nothing(self):
-        """Guards against a restart that forgets what the process before it has sent."""
+        """Guards against a restarted entry that doesn't know what its last process has sent."""
         share = share_for(hosts_of(1), started_s=9.5)
 
         assert not share.allows(row_of(), SERVICE, 10.0)
@@ -148,7 +148,7 @@
 
 
 class Fleet:
-    """Entries that send as much as they may to one cold endpoint, and don't know of each other."""
+    """Entries that send as many requests as they may to one cold endpoint without coordination."""
 
     def __init__(self, seed, entries):
         self.draw = random.Random(seed)
@@ -165,7 +165,7 @@
         share.note_entries(known if len(known) > len(self.hosts) - 3 else self.hosts)
         self.members[host] = share, EndpointRegistry().put(endpoint("e", cold_ms=600_000), now_s)
 
-    def play(self, seconds=20.0):
+    def run(self, seconds=20.0):
         now_s = 0.0
         while now_s < seconds:
             now_s += 0.01
@@ -186,23 +186,23 @@
 
 
 class TestFleet:
-    """No second sees more requests than the endpoint bears, whoever starts or pauses."""
+    """The endpoint never gets more requests per second than it can handle while entries restart."""
 
     @pytest.mark.parametrize("entries", [1, 4, 19, 24, 68, 350])
     @pytest.mark.parametrize("seed", range(1, 5))
     def test_limit_holds_over_all_entries(self, seed, entries):
-        assert Fleet(seed, entries).play() <= ALLOWED
+        assert Fleet(seed, entries).run() <= ALLOWED
 
     @pytest.mark.parametrize("entries", [1, 4, 24])
-    def test_limit_is_used(self, entries):
-        assert Fleet(1, entries).play() >= 0.5 * ALLOWED
+    def test_at_least_half_of_the_limit_is_used(self, entries):
+        assert Fleet(1, entries).run() >= 0.5 * ALLOWED
 
-    def test_entries_that_forget_what_they_sent_are_found(self, monkeypatch):
+    def test_too_short_window_exceeds_the_limit(self, monkeypatch):
         monkeypatch.setattr("beryljunction.routing.cold._WINDOW_S", 0.4)
 
-        assert max(Fleet(seed, 4).play() for seed in range(1, 5)) > ALLOWED
+        assert max(Fleet(seed, 4).run() for seed in range(1, 5)) > ALLOWED
 
-    def test_share_of_each_entry_alone_is_found(self, monkeypatch):
+    def test_share_without_regard_to_the_fleet_size_exceeds_the_limit(self, monkeypatch):
         monkeypatch.setattr("beryljunction.routing.cold.share_of", lambda *_: 1)
 
-        assert max(Fleet(seed, 68).play() for seed in range(1, 5)) > ALLOWED
+        assert max(Fleet(seed, 68).run() for seed in range(1, 5)) > ALLOWED
--- a/testing/test_confirmation.py
+++ b/testing/test_confirmation.py
@@ -14,7 +14,7 @@
     def test_nothing_is_confirmed_at_first(self):
         assert Confirmation().age_s(5.0) == math.inf
 
-    def test_earlier_one_changes_nothing(self):
+    def test_earlier_confirmation_changes_nothing(self):
         known = Confirmation()
         known.confirm(10.0, "front-1")
         known.confirm(9.0, "front-2")
--- a/testing/test_contact.py
+++ b/testing/test_contact.py
@@ -10,10 +10,10 @@
 
 
 class TestOwnReads:
-    def test_first_answer_is_no_return(self):
+    def test_first_answer_is_no_recovery(self):
         assert contact_at().regained_s == -math.inf
 
-    def test_answer_after_an_outage_is_a_return(self):
+    def test_answer_after_an_outage_is_a_recovery(self):
         contact = contact_at(10.0)
 
         contact.note_failure()
@@ -21,7 +21,7 @@
 
         assert contact.regained_s == 14.1
 
-    def test_outage_too_short_for_a_record_to_expire_is_no_return(self):
+    def test_outage_too_short_for_a_record_to_expire_is_no_recovery(self):
         contact = contact_at(10.0)
 
         contact.note_failure()
@@ -29,7 +29,7 @@
 
         assert contact.regained_s == -math.inf
 
-    def test_late_answer_without_a_failed_read_is_no_return(self):
+    def test_late_answer_without_a_failed_read_is_no_recovery(self):
         contact = contact_at(10.0)
 
         contact.note_answer(14.0, 14.1)
@@ -38,8 +38,8 @@
 
 
 class TestUpdates:
-    def test_host_that_was_rejected_alone_sees_no_return(self):
-        """Guards against a departed endpoint being kept because one host regained the store."""
+    def test_single_rejected_host_sees_no_recovery(self):
+        """Guards against keeping a departed endpoint because a single host regained the store."""
         contact = contact_at(10.0)
         contact.note_failure()
         for asked_s in (11.0, 12.0, 13.0, 14.0):
@@ -49,22 +49,22 @@
 
         assert contact.regained_s == -math.inf
 
-    def test_return_seen_by_a_cut_off_host_is_none_for_others(self):
-        """Guards against one host's own return being spread as the store's."""
+    def test_recovery_seen_by_a_cut_off_host_is_ignored(self):
+        """Guards against taking one host's regained connection for a recovery of the store."""
         contact = contact_at(14.0)
 
         contact.note_update(14.4, 14.5, 14.6)
 
         assert contact.regained_s == -math.inf
 
-    def test_return_of_the_store_is_taken_from_others(self):
+    def test_recovery_is_learned_from_other_entries(self):
         contact = contact_at(10.0)
 
         contact.note_update(14.4, 14.5, 14.6)
 
         assert contact.regained_s == 14.5
 
-    def test_own_answer_after_anothers_word_moves_nothing(self):
+    def test_own_answer_after_a_reported_recovery_changes_nothing(self):
         contact = contact_at(10.0)
         contact.note_failure()
         contact.note_update(14.4, 14.5, 14.6)
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -6,36 +6,36 @@
 
 
 def crashes(table, *names, digest="d", now_s=0.0):
-    """Count these endpoints; return for each whether the request is quarantined by it."""
+    """Count these ended endpoints; return for each whether it quarantined the request."""
     return [table.note_crash(Crash(digest, (name, 1)), now_s) for name in names]
 
 
-class TestCount:
+class TestNoteCrash:
     def test_third_endpoint_that_ends_quarantines_the_request(self):
         table = CrashTable()
 
         assert crashes(table, "e1", "e2", "e3", "e4") == [False, False, True, False]
         assert table.left_s("d", 0.0) == HOUR_S
 
-    def test_endpoint_counts_once_but_each_of_its_starts_does(self):
+    def test_endpoint_counts_once_per_incarnation(self):
         table = CrashTable()
 
         assert crashes(table, "e1", "e1", "e1", "e2") == [False] * 4
         assert table.note_crash(Crash("d", ("e1", 2)), 0.0)
 
-    def test_requests_are_counted_apart(self):
+    def test_requests_are_counted_separately(self):
         table = CrashTable()
         crashes(table, "e1", "e2", digest="one")
 
         assert crashes(table, "e3", digest="two") == [False]
 
-    def test_crashes_of_long_ago_do_not_count(self):
+    def test_old_crashes_do_not_count(self):
         table = CrashTable()
         crashes(table, "e1", "e2", now_s=0.0)
 
         assert crashes(table, "e3", now_s=HOUR_S + 1.0) == [False]
 
-    def test_memory_is_bounded(self):
+    def test_number_of_quarantined_requests_is_bounded(self):
         table = CrashTable()
         for number in range(5_000):
             crashes(table, "e1", "e2", "e3", digest=f"d{number}")
@@ -43,7 +43,7 @@
         assert len(table) == 4_096
         assert table.left_s("d4999", 0.0) > 0.0
 
-    def test_counts_below_the_quarantine_are_bounded_too(self):
+    def test_number_of_crash_counts_is_bounded(self):
         """Guards against memory that grows with each request under which an endpoint ended."""
         table = CrashTable()
         crashes(table, "e1", "e2", digest="first")
@@ -54,34 +54,34 @@
         assert crashes(table, "e2", "e3", digest="d4095") == [False, True]
 
 
-class TestServed:
-    def test_served_request_has_crashed_nothing(self):
-        """Guards against a frequent call that is refused as it was in flight at three crashes."""
+class TestNoteServed:
+    def test_served_request_loses_its_crash_count(self):
+        """Guards against refusing a frequent call that was in flight at three unrelated crashes."""
         table = CrashTable()
         crashes(table, "e1", "e2")
 
         assert table.note_served("d", 1.0)
         assert crashes(table, "e3", now_s=12.0) == [False]
 
-    def test_request_served_a_moment_ago_is_not_to_blame(self):
-        """Guards against a frequent call that is refused after all endpoints were lost at once."""
+    def test_recently_served_request_is_not_blamed(self):
+        """Guards against refusing a frequent call after all endpoints were lost at once."""
         table = CrashTable()
         table.note_served("d", 0.0)
 
         assert crashes(table, "e1", "e2", "e3", now_s=5.0) == [False] * 3
 
-    def test_request_that_begins_to_crash_endpoints_is_found(self):
+    def test_request_that_begins_to_crash_endpoints_is_quarantined(self):
         table = CrashTable()
         table.note_served("d", 0.0)
 
         assert crashes(table, "e1", "e2", "e3", now_s=11.0)[-1]
 
-    def test_nothing_is_withdrawn_where_nothing_was_held(self):
+    def test_serving_a_request_without_crashes_discards_nothing(self):
         assert not CrashTable().note_served("d", 0.0)
 
 
 class TestQuarantine:
-    def test_it_ends(self):
+    def test_quarantine_ends(self):
         table = CrashTable()
         table.quarantine("d", 60.0, 0.0)
 
@@ -91,13 +91,13 @@
         assert table.expire(60.0) == ["d"]
         assert len(table) == 0
 
-    def test_no_word_makes_it_longer_than_its_own(self):
+    def test_quarantine_is_limited_to_an_hour(self):
         table = CrashTable()
         table.quarantine("d", 1e12, 0.0)
 
         assert table.left_s("d", 0.0) == HOUR_S
 
-    def test_second_word_changes_nothing(self):
+    def test_second_quarantine_changes_nothing(self):
         table = CrashTable()
 
         assert table.quarantine("d", 60.0, 0.0)
@@ -107,7 +107,7 @@
 
 class TestOwners:
     @pytest.mark.parametrize("entries", [1, 2, 3, 24, 350])
-    def test_all_entries_agree_on_them(self, entries):
+    def test_all_entries_agree_on_the_owners(self, entries):
         hosts = [f"h{number}" for number in range(entries)]
 
         owners = owners_of("d", hosts)
@@ -115,7 +115,7 @@
         assert owners == owners_of("d", reversed(hosts))
         assert len(set(owners)) == min(3, entries)
 
-    def test_entry_that_joins_replaces_one_of_them_at_most(self):
+    def test_joining_entry_replaces_at_most_one_owner(self):
         hosts = [f"h{number}" for number in range(24)]
 
         for digest in (f"d{number}" for number in range(50)):
--- a/testing/test_digest.py
+++ b/testing/test_digest.py
@@ -33,13 +33,13 @@
         ],
         ids=lambda change: "-".join(change),
     )
-    def test_any_other_request_has_another(self, change):
+    def test_different_request_has_a_different_digest(self, change):
         assert request_digest(**REQUEST) != request_digest(**{**REQUEST, **change})
 
 
 class TestLog:
-    def test_lines_of_a_request_that_comes_again_share_a_digest(self):
-        """Guards against an on-call engineer who can't see that one request ends all endpoints."""
+    def test_log_lines_of_a_repeated_request_share_its_digest(self):
+        """Guards against a log that hides that one request crashes endpoint after endpoint."""
 
         async def end(answer, writer, number):
             reset(writer)
--- a/testing/test_endpoint_registry.py
+++ b/testing/test_endpoint_registry.py
@@ -9,7 +9,7 @@
 
 
 def regained(at_s):
-    """Return the contact of an entry to which the store came back."""
+    """Return the contact of an entry that saw the store recover."""
     contact = StoreContact()
     contact.note_failure()
     contact.note_answer(at_s, at_s)
@@ -21,25 +21,25 @@
 
 
 class TestMembership:
-    def test_draining_endpoint_gets_nothing_more(self):
+    def test_draining_endpoint_gets_no_more_requests(self):
         registry = registry_of(endpoint("a"), endpoint("b"))
 
         registry.put(endpoint("a", is_draining=True), 50.0)
 
         assert names(registry) == ["b"]
 
-    def test_endpoint_whose_record_vanishes_gets_nothing_more(self):
+    def test_endpoint_without_a_record_gets_no_more_requests(self):
         registry = registry_of(endpoint("a"), endpoint("b"))
 
         registry.remove("a", 50.0)
 
         assert names(registry) == ["b"]
 
-    def test_endpoint_missing_from_a_full_list_is_gone(self):
-        """The history expired while an endpoint left; its removal is never read.
+    def test_endpoint_missing_from_a_full_list_is_dropped(self):
+        """Guards against keeping an endpoint that left while the change history expired.
 
-        Callers would be sent to an address that another service may have by now. The full list
-        that is read instead is the only sign.
+        Its removal is never read, and only the full list that is read instead shows it. Requests
+        would go to an address that another service may have by now.
         """
         registry = registry_of(endpoint("a"), endpoint("b"))
 
@@ -47,11 +47,11 @@
 
         assert names(registry) == ["b"]
 
-    def test_another_start_under_the_same_id_knows_nothing_of_before(self):
-        """An endpoint crashes and comes back under its id within a second.
+    def test_restart_under_the_same_id_gets_a_new_row(self):
+        """Guards against keeping the row of an endpoint that crashes and restarts within a second.
 
-        Its cache is empty and its counts start anew. Were the old row kept, its load would look
-        high for seconds, and sessions would be sent there as if their prefixes were cached.
+        Its load would look high for seconds, and sessions would be sent there as if their prefixes
+        were still cached.
         """
         registry = registry_of(endpoint("a", born_ms=1))
         before = registry.find("a")
@@ -65,7 +65,7 @@
         assert after.start != before.start
         assert not registry.is_usable(before)
 
-    def test_another_address_under_the_same_id_is_another_start(self):
+    def test_another_address_under_the_same_id_is_another_incarnation(self):
         registry = registry_of(endpoint("a", port=9000))
         before = registry.find("a")
 
@@ -81,12 +81,12 @@
         assert before.record.cold_ms == 0
 
 
-class TestLapses:
-    def test_records_that_expired_in_an_outage_are_kept_until_they_are_back(self):
-        """The store is away for some seconds and forgets endpoints that are sound.
+class TestExpiredRecords:
+    def test_endpoints_that_expired_in_an_outage_are_kept_for_a_while(self):
+        """Guards against dropping live endpoints whose records expired in an outage of the store.
 
-        Callers would be refused for lack of endpoints until each has written again, which takes
-        about two seconds after the store is back.
+        Callers would be refused until each endpoint has written its record again, about two seconds
+        after the store has recovered.
         """
         registry = registry_of(endpoint("a"), endpoint("b"), contact=regained(60.0))
 
@@ -97,7 +97,7 @@
 
         assert names(registry, 62.5) == ["a"]
 
-    def test_endpoint_that_was_leaving_before_the_outage_is_no_lapse(self):
+    def test_endpoint_that_was_leaving_before_the_outage_is_dropped(self):
         leaving = endpoint("b", is_draining=True)
         registry = registry_of(endpoint("a"), leaving, contact=regained(60.0))
 
@@ -112,7 +112,7 @@
 
         assert names(registry, 63.0) == []
 
-    def test_full_list_after_an_outage_lapses_too(self):
+    def test_endpoint_missing_from_a_full_list_after_an_outage_is_kept_for_a_while(self):
         registry = registry_of(endpoint("a"), endpoint("b"), contact=regained(60.0))
 
         registry.replace([endpoint("b")], 60.0)
@@ -120,8 +120,8 @@
         assert names(registry, 61.0) == ["a", "b"]
         assert names(registry, 62.1) == ["b"]
 
-    def test_later_return_moves_no_deadline(self):
-        """Guards against an endpoint that left being kept with each host that comes back."""
+    def test_later_recovery_does_not_extend_the_deadline(self):
+        """Guards against keeping a departed endpoint longer with each later recovery."""
         contact = regained(60.0)
         registry = registry_of(endpoint("a"), contact=contact)
         registry.remove("a", 60.1)
@@ -140,7 +140,7 @@
 
         assert row.load(0.0) == 3.0
 
-    def test_reported_load_of_others_fades(self):
+    def test_reported_load_of_others_decays(self):
         row = registry_of(endpoint("a")).find("a")
         row.in_flight = 2
         row.report = LoadReport(running=8, waiting=2, own=2, at_s=10.0)
@@ -149,7 +149,7 @@
         assert row.load(11.0) == 6.0
         assert row.load(20.0) == 2.0
 
-    def test_failures_in_a_row_keep_an_endpoint_away_longer(self):
+    def test_consecutive_failures_exclude_an_endpoint_for_longer(self):
         row = registry_of(endpoint("a")).find("a")
 
         row.note_failure(0.0)
@@ -162,17 +162,17 @@
         assert not row.is_suspect(1.9)
 
 
-class TestEarlierRecords:
-    """A restored store may hold an earlier record of a start than the last one that was read."""
+class TestOlderRecords:
+    """A restored store may return an older record of an incarnation than the last one read."""
 
-    def test_record_of_before_does_not_bring_a_leaving_endpoint_back(self):
+    def test_older_record_does_not_bring_a_leaving_endpoint_back(self):
         registry = EndpointRegistry()
         registry.put(endpoint("e1", sequence=4, is_draining=True), 0.0)
         registry.put(endpoint("e1", sequence=3), 1.0)
 
         assert registry.usable("engine", 1.0) == []
 
-    def test_nor_one_that_has_left(self):
+    def test_older_record_does_not_bring_a_departed_endpoint_back(self):
         registry = EndpointRegistry()
         registry.put(endpoint("e1", sequence=4, is_draining=True), 0.0)
         registry.remove("e1", 0.5)
@@ -180,7 +180,7 @@
 
         assert registry.usable("engine", 1.0) == []
 
-    def test_counts_of_a_new_start_begin_anew(self):
+    def test_record_numbers_of_a_new_incarnation_start_again(self):
         registry = EndpointRegistry()
         registry.put(endpoint("e1", sequence=40, is_draining=True), 0.0)
         registry.put(endpoint("e1", born_ms=2, sequence=1), 1.0)
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -6,12 +6,12 @@
 from routing_fakes import endpoint
 
 STARTED_S = 8.0
-# A zone has to be empty within five seconds of the store's word; entries know of it in far less.
+# A zone must be empty within five seconds of the record in the store; entries learn of it sooner.
 KNOWN_S = 0.5
 
 
 class TestEvacuations:
-    def test_changes_are_named_once(self):
+    def test_each_change_is_returned_once(self):
         evacuations = Evacuations()
 
         assert evacuations.update({"a": True}, 4, 1.0) == (ZoneChange("a", True),)
@@ -27,8 +27,8 @@
         assert evacuations.since_s == {"a": 1.0, "b": 2.0}
 
     @pytest.mark.parametrize("is_complete", [True, False])
-    def test_older_word_changes_nothing(self, is_complete):
-        """Guards against a slow message taking an evacuation back that is still in force."""
+    def test_older_position_changes_nothing(self, is_complete):
+        """Guards against a delayed message that cancels an evacuation still in force."""
         evacuations = Evacuations()
         evacuations.replace(["a"], 7, 1.0)
 
@@ -70,7 +70,7 @@
     def names(self, registry):
         return {row.record.endpoint_id for row in registry.usable("engine", 50.0)}
 
-    def test_endpoints_of_an_evacuated_zone_get_nothing_new(self):
+    def test_endpoints_of_an_evacuated_zone_get_no_new_requests(self):
         registry = self.registry()
 
         registry.evacuate(frozenset({"a"}), 10.0)
@@ -78,7 +78,7 @@
         assert self.names(registry) == {"b1"}
         assert not registry.is_usable(registry.find("a1"))
 
-    def test_their_prefixes_can_still_be_fetched(self):
+    def test_endpoints_of_an_evacuated_zone_stay_reachable(self):
         registry = self.registry()
 
         registry.evacuate(frozenset({"a"}), 10.0)
@@ -86,7 +86,7 @@
         reachable = registry.reachable("engine", 10.0)
         assert {row.record.endpoint_id for row in reachable} == {"a1", "b1"}
 
-    def test_endpoint_that_joins_an_evacuated_zone_gets_nothing(self):
+    def test_endpoint_that_joins_an_evacuated_zone_gets_no_requests(self):
         registry = self.registry()
         registry.evacuate(frozenset({"a"}), 10.0)
 
@@ -94,14 +94,14 @@
 
         assert self.names(registry) == {"b1"}
 
-    def test_zone_that_nobody_knows_changes_nothing(self):
+    def test_unknown_zone_changes_nothing(self):
         registry = self.registry()
 
         registry.evacuate(frozenset({"elsewhere"}), 10.0)
 
         assert self.names(registry) == {"a1", "b1"}
 
-    def test_endpoints_of_a_returned_zone_may_be_cold(self):
+    def test_endpoints_may_be_cold_after_an_evacuation(self):
         registry = self.registry()
 
         registry.evacuate(frozenset({"a"}), 10.0)
@@ -113,7 +113,7 @@
 
 
 class TestFleet:
-    """Every entry keeps evacuations, whichever way it hears of them."""
+    """Every entry applies evacuations, whichever way it learns of them."""
 
     def knows(self, world, *zones):
         return world.all_know(lambda state: state.evacuations.zones == set(zones))
@@ -122,7 +122,7 @@
         world.put("keyed.op", f"evacuate/{zone}", b"{}" if is_evacuated else None)
 
     @pytest.mark.parametrize("entries", [1, 4, 22, 68])
-    def test_all_know_at_once(self, entries):
+    def test_all_entries_learn_of_an_evacuation_quickly(self, entries):
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
             self.evacuate(world, "a")
@@ -134,7 +134,7 @@
             world.advance(KNOWN_S)
             assert self.knows(world, "b")
 
-    def test_operator_who_changes_his_mind_is_followed(self):
+    def test_last_of_many_quick_changes_is_applied(self):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             for number in range(9):
@@ -144,11 +144,8 @@
 
             assert self.knows(world, "a")
 
-    def test_store_that_is_away_ends_no_evacuation(self):
-        """Guards against a zone getting requests again since nobody can confirm that it must not.
-
-        Half of the entries start anew and learn of it from their peers or once the store is back.
-        """
+    def test_evacuation_stays_in_force_while_the_store_is_silent(self):
+        """Guards against sending requests to an evacuated zone while the store can't confirm it."""
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             self.evacuate(world, "a")
@@ -161,7 +158,7 @@
             world.advance(4.0)
             assert self.knows(world, "a")
 
-    def test_entry_that_starts_knows_it_with_its_first_settings(self):
+    def test_starting_entry_learns_of_an_evacuation_with_its_first_settings(self):
         with FleetWorld(5) as world:
             world.advance(STARTED_S)
             self.evacuate(world, "a")
@@ -171,7 +168,7 @@
 
             assert self.knows(world, "a")
 
-    def test_history_that_is_gone_hides_nothing(self):
+    def test_evacuation_is_learned_after_the_history_was_compacted(self):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             world.fault(StoreFault.BUSY)
@@ -185,7 +182,7 @@
 
             assert self.knows(world, "a")
 
-    def test_rejected_entry_is_told_by_a_peer(self):
+    def test_rejected_entry_learns_of_an_evacuation_from_a_peer(self):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             world.fault(StoreFault.BUSY, list(world.members)[:8])
@@ -195,7 +192,7 @@
 
             assert self.knows(world, "a")
 
-    def test_key_that_names_no_zone_costs_a_line_only(self):
+    def test_key_without_a_zone_does_not_hide_other_evacuations(self):
         with FleetWorld(2) as world:
             world.advance(STARTED_S)
             world.put("keyed.op", "evacuate/", b"{}")
--- a/testing/test_fanout.py
+++ b/testing/test_fanout.py
@@ -17,7 +17,7 @@
 
 class TestTree:
     @pytest.mark.parametrize("count", SIZES)
-    def test_each_entry_is_told_by_two_others_or_reads(self, count):
+    def test_each_entry_has_two_parents_or_is_a_reader(self, count):
         views = fleet(count)
         told_by = {host: [] for host in views}
         for host, view in views.items():
@@ -29,7 +29,7 @@
             assert view.is_reader or len(told_by[host]) == 2
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_few_read_whatever_the_size(self, count):
+    def test_number_of_readers_and_children_is_bounded(self, count):
         views = fleet(count)
 
         assert sum(view.is_reader for view in views.values()) == min(4, count)
@@ -38,20 +38,20 @@
     def test_350_entries_are_four_levels(self):
         assert max(view.depth for view in fleet(350).values()) == 4
 
-    def test_sources_of_an_entry_are_one_level_above_it(self):
+    def test_parents_of_an_entry_are_one_level_above_it(self):
         views = fleet(151)
         for view in views.values():
             above = {views[host].depth for host in view.upstream()}
             assert above == {max(0, view.depth - 1)}
 
-    def test_entry_that_knows_of_no_other_reads(self):
+    def test_entry_without_known_peers_is_a_reader(self):
         view = FanOut("front")
 
         assert view.is_reader
         assert view.downstream() == {}
         assert view.upstream() == []
 
-    def test_entries_that_come_and_leave_are_taken_in(self):
+    def test_entries_that_join_move_or_leave_are_applied(self):
         view = FanOut("front")
         view.update({"a": ("h", 1), "b": ("h", 2)}, [])
         view.update({"b": ("h", 3)}, ["a", "unknown"])
@@ -63,8 +63,8 @@
 
 
 class TestFallback:
-    def test_levels_ask_one_after_the_other_before_ready_is_given_up(self):
-        """All readers are lost; those below are to ask first, and the others hear from them."""
+    def test_levels_read_one_after_the_other_while_still_ready(self):
+        """When all readers are lost, the level below them reads first and updates the others."""
         ends = {}
         ready_s = SettingsLease(5.0).ready_s
         for view in fleet(350).values():
@@ -76,7 +76,7 @@
         assert ends[3][1] <= 3.0
 
     @pytest.mark.parametrize("bound_s", [1.0, 2.0, 3.0, 40.0])
-    def test_each_asks_within_the_bound_after_those_above_it(self, bound_s):
+    def test_each_entry_reads_within_the_bound_after_those_above_it(self, bound_s):
         bound = AgeBound(bound_s)
         views = list(fleet(350).values())
         ranked = sorted(view.ask_after_s(bound_s, 0.0) for view in views if view.is_reader)
--- a/testing/test_imbalance.py
+++ b/testing/test_imbalance.py
@@ -5,9 +5,9 @@
 from imbalance_world import Fleet, share_over_bound
 
 SEEDS = (1, 2, 3)
-# A fleet of this many entries is played once: it takes as long as all others.
+# A fleet of this many entries is simulated with one seed only: it takes as long as all others.
 LARGE_ENTRIES = 350
-# Fleets have to keep 3 of 100 in any five seconds; a third of that leaves room for other days.
+# The limit for fleets is 3 in 100 in any five seconds; a third of it leaves room for other loads.
 MOST_SHARE = 0.01
 
 
@@ -17,11 +17,11 @@
 
 
 class TestImbalance:
-    """Many entries each place a few sessions a second on many engines, on a calm day.
+    """Guards against sessions with the same home overloading an engine while others idle.
 
-    A caller whose session shares a home with others waits behind them at a full engine, while
-    others idle. An entry learns of an engine's load only from its answers, one in many seconds,
-    so homes of busy sessions fill up unseen by all but the entries that were answered last.
+    Many entries each place a few sessions per second on many engines. Each learns the load of an
+    engine only from its answers, one in many seconds, so an engine that is the home of several busy
+    sessions fills up unnoticed by all entries except those it answered last.
     """
 
     @pytest.mark.parametrize(
@@ -48,9 +48,9 @@
 
     @pytest.mark.parametrize("hot_share", [0.0, 0.1])
     def test_few_do_while_a_zone_is_evacuated(self, hot_share):
-        """Guards against sessions of a third of the engines filling up the others unseen.
+        """Guards against sessions of a third of the engines overloading the others unnoticed.
 
-        The idle engines lower the mean of the fleet's bound, 3 in 100 requests.
+        The idle engines lower the mean in the fleet's bound; 3 in 100 requests may exceed it.
         """
         fleet = Fleet(entries=24, engines=22, rate=280, evacuated=8, hot_share=hot_share)
 
--- a/testing/test_lease.py
+++ b/testing/test_lease.py
@@ -12,11 +12,11 @@
         assert not lease.allows_denial(100.0)
         assert not lease.is_ready(100.0)
 
-    def test_age_counts_from_the_question(self):
-        """The caller's key was taken away while the store's answer was on its way.
+    def test_age_counts_from_when_the_store_was_asked(self):
+        """Guards against honouring a key too long that was revoked while the store was answering.
 
-        The store is slow: asked at 10, it answers at 14. A key taken away at 11 may be used until
-        16. Counted from the answer, this process would honour it until 19.
+        The store is asked at 10 and answers at 14. A key revoked at 11 may be used until 16;
+        counted from the answer, it would be honoured until 19.
         """
         lease = SettingsLease(revocation_s=5.0)
 
@@ -25,14 +25,14 @@
         assert lease.allows_keys(14.5)
         assert not lease.allows_keys(15.0)
 
-    def test_keys_end_before_the_bound_not_after(self):
+    def test_keys_are_not_honoured_shortly_before_the_bound(self):
         lease = SettingsLease(revocation_s=5.0)
         lease.confirm(0.0)
 
         assert lease.allows_keys(4.7)
         assert not lease.allows_keys(4.76)
 
-    def test_a_late_answer_to_an_older_question_does_not_renew(self):
+    def test_late_answer_to_an_older_read_does_not_renew_the_lease(self):
         lease = SettingsLease(revocation_s=5.0)
         lease.confirm(10.0)
 
@@ -40,11 +40,11 @@
 
         assert lease.age_s(11.0) == 1.0
 
-    def test_ready_is_given_up_before_keys_are(self):
-        """Callers are moved by the balancer about two seconds after "not ready".
+    def test_readiness_ends_before_keys_are_rejected(self):
+        """Guards against refusing callers that the load balancer could have moved in time.
 
-        The host is cut off from the store at 0. Were it ready until its keys end, callers that
-        come meanwhile would be refused for two seconds more.
+        The balancer moves them about two seconds after "not ready". Were the host ready until it
+        stops honouring keys, new callers would be refused during these two seconds.
         """
         lease = SettingsLease(revocation_s=5.0)
         lease.confirm(0.0)
@@ -53,7 +53,7 @@
         assert not lease.is_ready(3.1)
         assert lease.allows_keys(3.1)
 
-    def test_unknown_is_no_denial_when_the_settings_are_old(self):
+    def test_denial_is_not_allowed_when_the_settings_are_old(self):
         lease = SettingsLease(revocation_s=5.0)
         lease.confirm(0.0)
 
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -42,13 +42,13 @@
 
 
 class TestSwitches:
-    def test_all_are_on_unless_one_is_named(self):
+    def test_all_mechanisms_are_on_by_default(self):
         assert Mechanisms.parse("") == Mechanisms()
         assert Mechanisms.parse("fetch=off, stall=off").off == ("fetch", "stall")
         assert Mechanisms.parse("fetch=on").off == ()
 
     @pytest.mark.parametrize("name", NAMES)
-    def test_each_says_what_it_guards(self, name):
+    def test_each_mechanism_has_a_description(self, name):
         (row,) = [row for row in mechanisms_of(Mechanisms()) if row.name == name]
 
         assert row.is_on
@@ -63,7 +63,7 @@
             ("fetch=off,fetch=on", "fetch=on: expected each name once, got 'fetch' again"),
         ],
     )
-    def test_what_is_misspelt_is_told_with_its_place(self, text, problem):
+    def test_misspelt_switch_is_reported_with_its_text(self, text, problem):
         with pytest.raises(SettingsError, match=f"^{problem}") as caught:
             Mechanisms.parse(text)
 
@@ -84,8 +84,8 @@
             read_host_settings(str(file))
 
 
-class TestWarmPlacementWithout:
-    """Each switch changes the one decision that it names."""
+class TestWarmPlacement:
+    """Each switch changes only the decision that it names."""
 
     def placed(self, mechanisms, rows, sessions=40):
         placement = WarmPlacement(mechanisms)
@@ -97,7 +97,7 @@
             chosen.append(row.start)
         return chosen
 
-    def test_warmth_a_session_follows_its_hash_to_a_new_endpoint(self):
+    def test_without_warmth_a_session_follows_its_hash_to_a_new_endpoint(self):
         placement, rows = WarmPlacement(off("warmth")), rows_of(4)
         sessions = [demand(f"chat{n}") for n in range(60)]
         before = [placement.choose(rows, wanted, 0.0).start for wanted in sessions]
@@ -110,13 +110,13 @@
         assert moved
         assert {endpoint_id for endpoint_id, _ in moved} == {"new"}
 
-    def test_home_an_unknown_session_goes_to_the_emptiest(self):
+    def test_without_home_an_unknown_session_goes_to_the_least_loaded(self):
         rows = rows_of(3, in_flight=2)
         rows[1].in_flight = 0
 
         assert {*self.placed(off("home"), rows)} == {rows[1].start}
 
-    def test_bound_a_full_home_still_gets_its_session(self):
+    def test_without_bound_an_overloaded_home_still_gets_its_session(self):
         rows = rows_of(4)
         home = WarmPlacement().choose(rows, demand(), 0.0)
         home.in_flight = 50
@@ -124,7 +124,7 @@
         assert WarmPlacement(off("bound")).choose(rows, demand(), 0.0) is home
         assert WarmPlacement().choose(rows, demand(), 0.0) is not home
 
-    def test_bound_margin_an_old_report_does_not_lower_the_bound(self):
+    def test_without_bound_margin_an_old_report_does_not_lower_the_bound(self):
         rows = rows_of(4, in_flight=4)
         home = WarmPlacement().choose(rows, demand(), 0.0)
         home.in_flight = 10
@@ -134,7 +134,7 @@
         assert WarmPlacement(off("bound_margin")).choose(rows, demand(), 0.0) is home
         assert WarmPlacement().choose(rows, demand(), 0.0) is not home
 
-    def test_patience_a_session_waits_behind_a_long_read(self):
+    def test_without_patience_a_session_waits_behind_a_long_prefill(self):
         rows = rows_of(4)
         home = WarmPlacement().choose(rows, demand(), 0.0)
         home.reading_tokens = 50_000
@@ -142,7 +142,7 @@
         assert WarmPlacement(off("patience")).choose(rows, demand(), 0.0) is home
         assert WarmPlacement().choose(rows, demand(), 0.0) is not home
 
-    def test_fetch_a_moved_session_is_read(self):
+    def test_without_fetch_a_moved_session_is_recomputed(self):
         rows = rows_of(4)
         for mechanisms, has_source in ((Mechanisms(), True), (off("fetch"), False)):
             placement = WarmPlacement(mechanisms)
@@ -154,7 +154,7 @@
 
             assert (reading.source is home) == has_source
 
-    def test_moved_news_nothing_is_told_or_learned(self):
+    def test_without_moved_news_no_session_is_announced_or_learned(self):
         rows = rows_of(4)
         placement = WarmPlacement(off("moved_news"))
         home = placement.choose(rows, demand(), 0.0)
@@ -166,7 +166,7 @@
         assert placement.moved.end == 0
         assert placement.choose(rows, demand(), 0.1) is home
 
-    def test_learned_pace_the_assumed_one_stays(self):
+    def test_without_learned_pace_the_prior_rate_stays(self):
         for mechanisms, is_learned in ((Mechanisms(), True), (off("learned_pace"), False)):
             placement = WarmPlacement(mechanisms)
             before = placement.pace("engine").tokens_per_ms
@@ -176,8 +176,8 @@
             assert (placement.pace("engine").tokens_per_ms > before * 2) == is_learned
 
 
-class TestSoundnessWithout:
-    def test_slowness_an_endpoint_counts_by_its_requests(self):
+class TestSoundness:
+    def test_without_slowness_an_endpoint_counts_by_its_requests(self):
         rows = rows_of(3, in_flight=2)
         for row, took_ms in zip(rows, (10.0, 10.0, 50.0), strict=True):
             row.pace.note(took_ms, 0.0)
@@ -185,21 +185,21 @@
         assert weighted_loads(rows, 0.0)[rows[2].start] == 10.0
         assert weighted_loads(rows, 0.0, off("slowness"))[rows[2].start] == 2.0
 
-    def test_suspects_a_failed_endpoint_is_still_asked(self):
+    def test_without_suspects_a_failed_endpoint_still_gets_requests(self):
         rows = rows_of(3)
         rows[0].note_failure(0.0)
 
         assert rows[0] not in sound_rows(rows, 0.1)
         assert rows[0] in sound_rows(rows, 0.1, off("suspects"))
 
-    def test_stall_a_silent_endpoint_is_still_asked(self):
+    def test_without_stall_a_silent_endpoint_still_gets_requests(self):
         rows = rows_of(3)
         rows[0].waits["request"] = 0.0
 
         assert rows[0] not in sound_rows(rows, 5.0)
         assert rows[0] in sound_rows(rows, 5.0, off("stall"))
 
-    def test_fault_shares_a_grey_endpoint_is_still_asked(self):
+    def test_without_fault_shares_a_failing_endpoint_still_gets_requests(self):
         rows = rows_of(3)
         for _ in range(8):
             rows[0].faults.note(True, 0.0)
@@ -208,8 +208,8 @@
         assert rows[0] in sound_rows(rows, 0.1, off("fault_shares"))
 
 
-class TestCallsWithout:
-    def test_zone_penalty_zones_are_alike(self):
+class TestPlainCalls:
+    def test_without_zone_penalty_all_zones_are_equal(self):
         rows = [known("far", availability_zone="b"), known("near")]
         chosen = {
             PlainPlacement("a", random.Random(seed), off("zone_penalty"))
@@ -220,7 +220,7 @@
 
         assert len(chosen) == 2
 
-    def test_second_sends_a_failed_request_ends(self):
+    def test_without_second_sends_a_failed_request_is_not_sent_again(self):
         share = RetryShare(1.0, 10.0, 100)
         plan = AttemptPlan(Repeat.FREELY, 3, share, may_send_again=False)
         plan.before_send(0.0)
@@ -229,17 +229,17 @@
         assert plan.after(Outcome.DECLINED) is Verdict.FAIL
 
 
-class TestOperators:
+class TestCommands:
     DEPLOY = (
         'build = "true"\n[roles.entry]\nrun = "python3 -m x"\non = "front"\nserves = ["front"]\n'
     )
 
-    def file(self, tmp_path, words):
+    def file(self, tmp_path, switches):
         path = tmp_path / "system.toml"
-        path.write_text(f'{self.DEPLOY}env = {{ BERYL_MECHANISMS = "{words}" }}\n')
+        path.write_text(f'{self.DEPLOY}env = {{ BERYL_MECHANISMS = "{switches}" }}\n')
         return path
 
-    def test_explain_shows_what_is_on_and_what_it_guards(self, tmp_path, capsys):
+    def test_explain_shows_the_state_and_description_of_mechanisms(self, tmp_path, capsys):
         path = self.file(tmp_path, "fetch=off")
 
         assert explain("mechanisms.fetch", deploy=path) == 0
@@ -250,14 +250,14 @@
         assert len(lines) == 1 + len(NAMES)
         assert sum(" = on (entry, default): " in line for line in lines) == len(NAMES) - 1
 
-    def test_wrong_words_are_told_before_the_deployment(self, tmp_path, capsys):
+    def test_wrong_switches_are_reported_before_the_deployment(self, tmp_path, capsys):
         path = self.file(tmp_path, "fetch=maybe")
 
         assert check(path) == 2
         assert explain("mechanisms", deploy=path) == 2
         assert explain("mechanisms.fetsh", deploy=self.file(tmp_path, "")) == 2
 
-        told = capsys.readouterr().err.splitlines()
+        reported = capsys.readouterr().err.splitlines()
         place = "roles.entry.env.BERYL_MECHANISMS: fetch=maybe: "
-        assert place + "expected on or off, got 'maybe'" in told[0]
-        assert told[2] == "mechanisms.fetsh: expected the name of a mechanism, got 'fetsh'"
+        assert place + "expected on or off, got 'maybe'" in reported[0]
+        assert reported[2] == "mechanisms.fetsh: expected the name of a mechanism, got 'fetsh'"
--- a/testing/test_moved.py
+++ b/testing/test_moved.py
@@ -28,7 +28,7 @@
         return row, reading
 
     def move(self, session, now_s):
-        """Let the first entry place a session while its home and the next in order are full."""
+        """Let the first entry place a session while its first two endpoints are overloaded."""
         for _ in range(2):
             home = WarmPlacement().choose(
                 [row for row in self.rows if not row.in_flight], demand(session), now_s
@@ -39,13 +39,13 @@
             row.in_flight = 0
         return moved
 
-    def tell(self, now_s):
+    def share_moved(self, now_s):
         for session in self.one.moved.since(0):
             self.two.learn(session, now_s)
 
 
 class TestMovedSessions:
-    def test_each_row_is_told_once_and_again_before_it_is_forgotten(self):
+    def test_session_is_announced_once_and_again_before_peers_forget_it(self):
         moved = MovedSessions()
 
         moved.note(SESSION, 0.0)
@@ -57,7 +57,7 @@
 
         assert (moved.end, list(moved.since(1))) == (2, [SESSION])
 
-    def test_peer_that_has_heard_nothing_for_long_gets_the_newest(self):
+    def test_peer_that_missed_many_sessions_gets_the_newest(self):
         moved = MovedSessions()
         for number in range(1_000):
             moved.note(MovedSession(("common", f"chat{number}"), ("e1", 1)), 0.0)
@@ -69,34 +69,34 @@
 
 
 class TestSessionsOfTwoEntries:
-    def test_moved_session_is_found_by_the_entry_that_did_not_move_it(self):
-        """One entry sends a session past its full home; it comes back by another entry.
+    def test_moved_session_is_found_by_another_entry(self):
+        """Guards against recomputing the prefix of a session that another entry moved off its home.
 
-        That one would ask the home, which has read nothing of it, and name the next in order as
-        the one that keeps it, which is wrong as well: the prefix is read again.
+        An entry that was not told would send it to its home, which has not prefilled it, and would
+        fetch from the next endpoint in order, which has not either.
         """
         entries = Entries()
         moved = entries.move("chat", 0.0)
-        untold, _ = entries.send(WarmPlacement(), "chat", 1.0)
+        without_news, _ = entries.send(WarmPlacement(), "chat", 1.0)
 
-        entries.tell(1.0)
+        entries.share_moved(1.0)
         found, reading = entries.send(entries.two, "chat", 1.0)
 
-        assert untold is not moved
+        assert without_news is not moved
         assert (found, reading.unread_tokens) == (moved, 0)
 
-    def test_session_at_its_home_is_not_told(self):
+    def test_session_at_its_home_is_not_announced(self):
         entries = Entries()
         for number in range(50):
             entries.send(entries.one, f"chat{number}", 0.0)
 
         assert entries.one.moved.end == 0
 
-    def test_sessions_whose_home_is_a_new_endpoint_are_told_when_it_joins(self):
-        """Two engines are added one after the other while chats go on.
+    def test_sessions_with_a_new_endpoint_as_home_are_announced_when_it_joins(self):
+        """Guards against recomputing prefixes when two engines are added one after the other.
 
-        An entry that has not seen a chat sends it to a new engine and names the other new one as
-        the one that keeps the prefix. It is told before, so the chat stays where it is warm.
+        An entry that was not told of a chat would send it to one new engine and fetch its prefix
+        from the other new one.
         """
         entries = Entries()
         before = {n: entries.send(entries.one, f"chat{n}", 0.0)[0] for n in range(100)}
@@ -104,7 +104,7 @@
         for name in ("new1", "new2"):
             entries.rows.append(known(name))
             entries.one.joined(name, 1.0)
-        entries.tell(1.0)
+        entries.share_moved(1.0)
         after = {n: entries.send(entries.two, f"chat{n}", 2.0)[0] for n in range(100)}
 
         assert after == before
--- a/testing/test_reading.py
+++ b/testing/test_reading.py
@@ -15,28 +15,28 @@
 
 
 class TestReadingPace:
-    def test_slowest_known_engine_is_assumed_at_first(self):
+    def test_prior_is_the_rate_of_the_slowest_known_engine(self):
         assert ReadingPace().tokens_per_ms == 38.0
 
     @pytest.mark.parametrize("tokens_per_ms", [20.0, 38.4, 112.0, 250.0])
-    def test_pace_of_an_engine_is_found(self, tokens_per_ms):
+    def test_rate_of_an_engine_is_estimated(self, tokens_per_ms):
         assert measured(tokens_per_ms) == pytest.approx(tokens_per_ms, rel=0.1)
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_waiting_behind_other_prompts_does_not_hide_it(self, seed):
+    def test_waiting_behind_other_prompts_does_not_distort_the_rate(self, seed):
         found = measured(112.0, count=150, waits_ms=60.0, seed=seed)
 
         assert found == pytest.approx(112.0, rel=0.25)
 
-    def test_short_prompts_alone_change_little(self):
+    def test_short_prompts_alone_barely_change_the_rate(self):
         pace = ReadingPace()
         for number in range(200):
             pace.note(100 + number % 3, 60.0 + 20.0 * (number % 2))
 
         assert pace.tokens_per_ms == pytest.approx(38.0, rel=0.01)
 
-    def test_other_engines_are_learned_in_place_of_the_old(self):
-        """The engines of a service are replaced by faster ones."""
+    def test_rate_follows_a_change_of_engines(self):
+        """Guards against keeping the old rate after a service gets faster engines."""
         pace = ReadingPace()
         for _ in range(100):
             pace.note(6_000, 55.0 + 6_000 / 38.0)
@@ -47,13 +47,13 @@
 
         assert pace.tokens_per_ms == pytest.approx(112.0, rel=0.1)
 
-    def test_answer_that_waited_for_long_is_left_out(self):
+    def test_answer_that_waited_too_long_is_ignored(self):
         pace = ReadingPace()
         pace.note(200, 30_000.0)
 
         assert pace.tokens_per_ms == 38.0
 
-    def test_nonsense_stays_within_bounds(self):
+    def test_rate_from_nonsensical_samples_stays_within_bounds(self):
         pace = ReadingPace()
         for number in range(100):
             pace.note(1_000 * (number % 10), 1_000.0 - 100.0 * (number % 10))
--- a/testing/test_warm_placement.py
+++ b/testing/test_warm_placement.py
@@ -19,7 +19,7 @@
 
 
 def place(placement, rows, wanted, now_s):
-    """Choose, and note that the request is sent there."""
+    """Choose an endpoint and record that the request is sent there."""
     row = placement.choose(rows, wanted, now_s)
     placement.reading(rows, row, wanted, now_s)
     return row
@@ -30,7 +30,7 @@
 
 
 class TestWarmPlacement:
-    def test_entries_that_never_speak_agree_on_a_home(self):
+    def test_entries_agree_on_a_home_without_communicating(self):
         rows = rows_of(5)
 
         homes = {place(WarmPlacement(), rows, demand("chat"), 0.0).start for _ in range(4)}
@@ -48,10 +48,10 @@
         assert max(counts.values()) < 140
 
     def test_session_stays_when_an_endpoint_is_added(self):
-        """Engines are added while chats go on.
+        """Guards against moving chats to an engine that is added while they go on.
 
-        A chat whose home by hash is the new engine would read its whole prefix again there, though
-        the engine that has it is idle.
+        A chat whose home by hash is the new engine would have its whole prefix recomputed there,
+        although the engine that has it cached is idle.
         """
         placement, rows = WarmPlacement(), rows_of(4)
         before = {n: place(placement, rows, demand(f"chat{n}"), 0.0).start for n in range(100)}
@@ -72,10 +72,10 @@
 
         assert all(after[n] == before[n] for n in before if before[n] != lost)
 
-    def test_session_goes_on_elsewhere_when_its_home_carries_too_much(self):
-        """One chat gets a large part of all requests.
+    def test_session_moves_when_its_home_is_overloaded(self):
+        """Guards against one chat with a large part of all requests overloading its engine.
 
-        Its engine would run far more than the others, and every stream beside it would slow down.
+        Its engine would run far more requests than the others, and all its streams would slow down.
         """
         placement, rows = WarmPlacement(), rows_of(5)
         for _ in range(60):
@@ -85,7 +85,7 @@
         mean = sum(loads) / len(loads)
         assert max(loads) <= 2 * mean + 3
 
-    def test_second_home_of_a_hot_session_is_used_again(self):
+    def test_endpoints_of_a_hot_session_are_used_again(self):
         placement, rows = WarmPlacement(), rows_of(8)
         used = set()
         for _ in range(12):
@@ -99,17 +99,17 @@
 
         assert again <= used
 
-    def test_loads_that_others_caused_count(self):
+    def test_load_from_other_entries_counts(self):
         placement, rows = WarmPlacement(), rows_of(3)
         home = place(placement, rows, demand("chat"), 0.0)
         home.report = LoadReport(running=30, waiting=0, own=0, at_s=0.0)
 
         assert place(placement, rows, demand("chat"), 0.1) is not home
 
-    def test_requests_without_a_prompt_go_where_there_is_room(self):
-        """Calls of a model's service that name no prompt parts have no home.
+    def test_requests_without_a_prompt_go_to_the_least_loaded_endpoint(self):
+        """Guards against sending all calls without prompt parts to one endpoint, up to its bound.
 
-        By the order of an empty session all would go to one endpoint, up to its bound.
+        They have no session, so the rendezvous order would be the same for all of them.
         """
         placement, rows = WarmPlacement(), rows_of(4)
         for _ in range(8):
@@ -117,24 +117,24 @@
 
         assert [row.in_flight for row in rows] == [2, 2, 2, 2]
 
-    def test_nothing_to_choose_from(self):
+    def test_no_endpoint_is_chosen_from_an_empty_list(self):
         assert WarmPlacement().choose([], demand("chat"), 0.0) is None
 
 
 class TestPlainPlacement:
-    def test_emptiest_goes_first(self):
+    def test_least_loaded_endpoint_goes_first(self):
         rows = [known("a", in_flight=2), known("b", in_flight=1), known("c", in_flight=3)]
         placement = PlainPlacement("a", random.Random(1))
 
         assert placement.choose(rows, Demand(), 0.0).record.endpoint_id == "b"
 
-    def test_own_zone_goes_first_among_equals(self):
+    def test_own_zone_goes_first_at_equal_load(self):
         rows = [known("far", availability_zone="b"), known("near", availability_zone="a")]
         placement = PlainPlacement("a", random.Random(1))
 
         assert placement.choose(rows, Demand(), 0.0).record.endpoint_id == "near"
 
-    def test_entries_with_the_same_loads_do_not_all_pick_the_same(self):
+    def test_ties_are_broken_at_random(self):
         rows = [known(name) for name in "abc"]
         placement = PlainPlacement("a", random.Random(1))
 
@@ -144,10 +144,11 @@
 
 
 class TestSoundRows:
-    def test_endpoint_that_fails_more_than_its_peers_is_passed_over(self):
-        """One of four endpoints fails half of its requests at once, and looks healthy and empty.
+    def test_endpoint_that_fails_more_than_its_peers_is_skipped(self):
+        """Guards against preferring an endpoint that fails half of its requests but looks healthy.
 
-        Callers whose requests may run once lose them there; being emptiest, it would get the most.
+        As the least loaded one it would get the most requests, and those that may run only once
+        would be lost.
         """
         rows = rows_of(4)
         for _ in range(8):
@@ -156,14 +157,14 @@
 
         assert sound_rows(rows, 0.1) == rows[1:]
 
-    def test_it_is_tried_again_after_a_while(self):
+    def test_failing_endpoint_is_tried_again_after_a_while(self):
         rows = rows_of(4)
         for _ in range(8):
             rows[0].faults.note(is_bad=True, now_s=0.0)
 
         assert rows[0] in sound_rows(rows, 4.0)
 
-    def test_none_is_passed_over_when_all_fail_alike(self):
+    def test_no_endpoint_is_skipped_if_all_fail_alike(self):
         rows = rows_of(4)
         for _ in range(8):
             for row in rows:
@@ -171,7 +172,7 @@
 
         assert sound_rows(rows, 0.1) == rows
 
-    def test_endpoint_that_keeps_a_request_waiting_is_passed_over(self):
+    def test_endpoint_that_keeps_a_request_waiting_is_skipped(self):
         rows = rows_of(3)
         rows[1].waits["call"] = 10.0
 
@@ -180,11 +181,11 @@
 
 
 class TestClosedEndpoints:
-    def test_bound_takes_its_mean_over_evacuated_ones_too(self):
-        """Guards against a third of the endpoints being idle, and the home above twice the mean.
+    def test_bound_includes_evacuated_endpoints_in_the_mean(self):
+        """Guards against a home above twice the mean while a third of the endpoints is evacuated.
 
-        Ten requests at each open endpoint and 15 at one are a mean of 7 over all, and 15 is over
-        1.6 x 7 + 3.
+        With ten requests at each open endpoint and 15 at one, the mean over all endpoints is 7, and
+        15 exceeds 1.6 x 7 + 3.
         """
         rows = [known(f"e{number}", in_flight=10) for number in range(10)]
         closed = [known(f"z{number}") for number in range(5)]
