--- a/src/beryljunction/gateway/calls.py
+++ b/src/beryljunction/gateway/calls.py
@@ -1,4 +1,4 @@
-"""One request to one endpoint, on a connection of its own."""
+"""Sends one request to one endpoint on a dedicated connection."""
 
 import asyncio
 import collections
@@ -12,26 +12,26 @@
 
 __all__ = ["EndpointCall", "EndpointUnreachable", "open_call", "refuses_connections"]
 
-# An endpoint on a sound host answers a connection attempt in a few ms; one that is dark never does,
-# and a lost packet is sent again only after a second. Aims are 200 ms and up, and nothing has been
-# sent yet, so going elsewhere soon costs nothing.
-_CONNECT_S = 0.25
-# Bytes of an answer kept for a caller that reads slowly, before the endpoint is held back.
-_MOST_BUFFERED_BYTES = 262_144
+# An endpoint on a healthy host accepts a connection within a few ms; an unreachable one never does,
+# and TCP retransmits a lost SYN only after 1 s. Latency targets start at 200 ms, and since nothing
+# has been sent yet, it is safe to try another endpoint early.
+_CONNECT_TIMEOUT_S = 0.25
+# Unread bytes of an answer that are buffered before reading from the endpoint pauses.
+_MAX_BUFFERED_BYTES = 262_144
 
 
 class EndpointUnreachable(Exception):  # noqa: N818 - not an error of this program
-    """No connection could be made, so nothing was sent."""
+    """Raised when no connection could be made, so that nothing was sent."""
 
 
 class EndpointCall(asyncio.Protocol):
     """Sends a request and reads its answer.
 
-    The connection serves this request only. What an endpoint sends after a complete answer, or
-    late, belongs to nobody, and goes away with the connection.
+    The connection serves this request only, so data that an endpoint sends late or after a
+    complete answer is discarded and can't be taken for the answer to another request.
 
     Attributes:
-        is_complete: Whether the answer has ended where its framing says.
+        is_complete: Whether the answer was received up to the end that its framing defines.
         problem: Why the answer can't be used; empty while it can.
         is_cut: Whether the connection ended before the answer did.
     """
@@ -42,16 +42,16 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers: Headers = []
         self._head: Head | None = None
-        self._parts: collections.deque[bytes] = collections.deque()
+        self._body_parts: collections.deque[bytes] = collections.deque()
         self._buffered_bytes = 0
         self._is_paused = False
-        self._news = anyio.Event()
+        self._changed = anyio.Event()
         self.is_complete = False
         self.problem = ""
         self.is_cut = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the time-outs of the socket."""
+        """Set the timeouts of the socket."""
         self._transport = cast(asyncio.Transport, transport)
         set_timeouts(transport.get_extra_info("socket"), ENDPOINT_TIMEOUTS)
 
@@ -61,38 +61,38 @@
         self._transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Read on; nothing is taken after a complete answer."""
+        """Parse received bytes; those after a complete answer are ignored."""
         if self.is_complete or self.problem:
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._end("an answer that changes the protocol")
+            self._fail("a protocol upgrade")
         except httptools.HttpParserError as error:
             if not self.is_complete:
-                self._end(f"bytes that are no answer ({error})")
-        self._news.set()
+                self._fail(f"an invalid HTTP response ({error})")
+        self._changed.set()
 
     def eof_received(self) -> bool:
-        """End an answer that is delimited by the end of its connection."""
+        """Complete an answer that is delimited by the end of its connection."""
         if self._head is not None and not self.is_complete and not self._is_framed:
             self.is_complete = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note a connection that ended before the answer did."""
+        """Fail the answer if the connection ended before it was complete."""
         self._transport = None
         if not self.is_complete and not self.problem:
             self.is_cut = True
-            self._end(f"the end of the connection ({exc or 'closed'})")
-        self._news.set()
+            self._fail(f"a lost connection ({exc or 'closed'})")
+        self._changed.set()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Read a header."""
+        """Store a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Note the head, but for interim answers."""
+        """Store status and headers, except those of 1xx interim responses."""
         if self.is_complete:
             return
         status = self._parser.get_status_code()
@@ -102,17 +102,17 @@
             self.is_complete = self._is_head
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body."""
+        """Buffer a part of the body, and pause reading when the buffer is full."""
         if self.is_complete:
             return
-        self._parts.append(body)
+        self._body_parts.append(body)
         self._buffered_bytes += len(body)
-        if self._buffered_bytes > _MOST_BUFFERED_BYTES and self._transport is not None:
+        if self._buffered_bytes > _MAX_BUFFERED_BYTES and self._transport is not None:
             self._transport.pause_reading()
             self._is_paused = True
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer."""
+        """Mark the answer as complete."""
         if self._head is not None:
             self.is_complete = True
 
@@ -122,25 +122,25 @@
         names = {name for name, _ in self._head.headers}
         return b"content-length" in names or b"transfer-encoding" in names
 
-    def _end(self, got: str) -> None:
-        self.problem = f"expected a whole answer, got {got}"
-        self._news.set()
+    def _fail(self, got: str) -> None:
+        self.problem = f"expected a complete answer, got {got}"
+        self._changed.set()
 
     async def head(self) -> Head | None:
-        """Return the answer's head; None when there will be none."""
+        """Wait for the status and headers of the answer; return None if it failed before them."""
         while self._head is None and not self.problem:
             await self._wait()
         return self._head
 
     async def part(self) -> bytes | None:
-        """Return the next part of the body; None after the last, see `is_complete`."""
-        while not self._parts:
+        """Wait for the next part of the body; return None after the last, see `is_complete`."""
+        while not self._body_parts:
             if self.is_complete or self.problem:
                 return None
             await self._wait()
-        part = self._parts.popleft()
+        part = self._body_parts.popleft()
         self._buffered_bytes -= len(part)
-        if self._is_paused and self._buffered_bytes < _MOST_BUFFERED_BYTES // 2:
+        if self._is_paused and self._buffered_bytes < _MAX_BUFFERED_BYTES // 2:
             self._resume()
         return part
 
@@ -150,14 +150,14 @@
             self._transport.resume_reading()
 
     async def _wait(self) -> None:
-        self._news = anyio.Event()
-        await self._news.wait()
+        self._changed = anyio.Event()
+        await self._changed.wait()
 
     def __enter__(self) -> Self:
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Reset the connection, so that the endpoint stops working on what nobody waits for."""
+        """Abort the connection, so that the endpoint stops work on an abandoned request."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -166,11 +166,11 @@
     """Connect to an endpoint.
 
     Raises:
-        EndpointUnreachable: No connection in time; nothing was sent.
+        EndpointUnreachable: The connection failed or timed out; nothing was sent.
     """
     loop = asyncio.get_running_loop()
     try:
-        with anyio.fail_after(_CONNECT_S):
+        with anyio.fail_after(_CONNECT_TIMEOUT_S):
             _, call = await loop.create_connection(lambda: EndpointCall(is_head), *address)
     except (OSError, TimeoutError) as error:
         raise EndpointUnreachable(str(error) or type(error).__name__) from error
@@ -178,7 +178,7 @@
 
 
 async def refuses_connections(address: tuple[str, int]) -> bool:
-    """Return whether nothing listens at an address; False where that is not certain."""
+    """Return whether an address refuses connections; False for other errors and timeouts."""
     try:
         call = await open_call(address, is_head=False)
     except EndpointUnreachable as error:
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Walks one caller's request to its answer."""
+"""Serves one request of a caller: admission, endpoint selection, attempts and the answer."""
 
 import anyio
 
@@ -38,30 +38,30 @@
 
 __all__ = ["Exchange"]
 
-# A request with less time left than this can't be answered in time by any endpoint.
-_LEAST_LEFT_S = 0.02
+# No endpoint can answer a request in time when less than this remains until its deadline.
+_MIN_REMAINING_S = 0.02
 _DENIAL_STATUS = {DenialReason.NO_ROUTE: 404, DenialReason.UNKNOWN_KEY: 401}
-_NO_DEADLINE_MS = 60_000
+_DEFAULT_DEADLINE_MS = 60_000
 _QUARANTINED = "quarantined"
 
 
 class Exchange:
-    """One request of a caller, from its arrival to the end of its answer."""
+    """Handles one request of a caller from its arrival to the end of its answer."""
 
     def __init__(self, state: EntryState, request: HttpRequest, caller: Answering) -> None:
         self._state = state
         self._request = request
         self._delivery = Delivery(caller)
         self._tried: set[KnownEndpoint] = set()
-        self._error: tuple[Head, bytes] | None = None
+        self._endpoint_error: tuple[Head, bytes] | None = None
         self._service = ""
         self._log = ExchangeLog(state)
 
     async def run(self) -> None:
-        """Serve the request; cancelled when its caller leaves."""
+        """Serve the request; cancelled when the caller disconnects."""
         needs = read_needs(self._request.headers)
         if isinstance(needs, str):
-            self._finish(400, needs)
+            self._answer_error(400, needs)
             return
         self._needs = needs
         self._log.request_id = needs.request_id
@@ -76,8 +76,8 @@
 
     async def _serve(self, admitted: Admitted) -> None:
         route = admitted.route
-        limit_ms = min(self._needs.deadline_ms or _NO_DEADLINE_MS, route.timeout_ms)
-        self._ends_s = self._request.arrived_s + limit_ms / 1000
+        limit_ms = min(self._needs.deadline_ms or _DEFAULT_DEADLINE_MS, route.timeout_ms)
+        self._deadline_s = self._request.arrived_s + limit_ms / 1000
         self._service = route.service_for(self._state.random.random())
         self._log.digest = self._digest_for(admitted)
         self._demand = Demand(self._shared_parts())
@@ -85,8 +85,8 @@
         share.count_request(boot_time_s())
         may_send_again = self._state.mechanisms.second_sends
         plan = AttemptPlan(route.repeat, route.max_attempts, share, may_send_again)
-        with anyio.move_on_after(max(0.0, self._left_s())):
-            await self._walk(plan)
+        with anyio.move_on_after(max(0.0, self._remaining_s())):
+            await self._try_endpoints(plan)
             return
         self._time_out(plan)
 
@@ -101,29 +101,29 @@
         host = self._needs.host
         return request_digest(account, request.method, host, request.target, request.body)
 
-    def _left_s(self) -> float:
-        return self._ends_s - boot_time_s()
+    def _remaining_s(self) -> float:
+        return self._deadline_s - boot_time_s()
 
     def _shared_parts(self) -> PromptParts:
-        """Return the parts that other requests have too: all but the last, which is its own."""
+        """Return the prompt parts shared with other requests: all but the last one, if several."""
         ids, tokens = self._needs.prompt_parts, self._needs.prompt_tokens
         if len(ids) > 1:
             return PromptParts(ids[:-1], tokens[:-1], tokens[-1])
         return PromptParts(ids, tokens)
 
-    async def _walk(self, plan: AttemptPlan) -> None:
-        """Send to one endpoint after the other until one has answered or nothing is left to do."""
-        while not self._is_quarantined(plan):
+    async def _try_endpoints(self, plan: AttemptPlan) -> None:
+        """Try endpoints in turn until one answers or no further attempt is allowed."""
+        while not self._refuse_if_quarantined(plan):
             endpoint = self._state.choose(self._service, self._demand, self._tried)
-            if endpoint is None or self._left_s() < _LEAST_LEFT_S:
+            if endpoint is None or self._remaining_s() < _MIN_REMAINING_S:
                 reason = self._state.why_none(self._service) if endpoint is None else "no_time"
                 self._give_up(plan.give_up(), reason)
                 return
             self._tried.add(endpoint)
-            end = await self._try(endpoint, plan)
+            end = await self._attempt(endpoint, plan)
             if end.outcome is None:
                 return
-            self._error = end.error or self._error
+            self._endpoint_error = end.error or self._endpoint_error
             verdict = plan.after(end.outcome)
             self._log.write(
                 "attempt_ended",
@@ -137,15 +137,15 @@
                 self._give_up(verdict, end.outcome.value)
                 return
 
-    def _is_quarantined(self, plan: AttemptPlan) -> bool:
-        """Return whether the request ends endpoints; its caller has its answer then."""
+    def _refuse_if_quarantined(self, plan: AttemptPlan) -> bool:
+        """Refuse the request if it is quarantined for crashing endpoints; return whether it was."""
         if self._state.quarantine.left_s(self._log.digest) <= 0.0:
             return False
         self._give_up(plan.give_up(), _QUARANTINED)
         return True
 
-    async def _try(self, endpoint: KnownEndpoint, plan: AttemptPlan) -> AttemptEnd:
-        """Connect to one endpoint and send to it."""
+    async def _attempt(self, endpoint: KnownEndpoint, plan: AttemptPlan) -> AttemptEnd:
+        """Connect to one endpoint and send the request to it."""
         endpoint.in_flight += 1
         try:
             call = await open_call(endpoint.record.address, self._request.method == b"HEAD")
@@ -160,10 +160,10 @@
     async def _send(
         self, call: EndpointCall, endpoint: KnownEndpoint, plan: AttemptPlan
     ) -> AttemptEnd:
-        """Send the request and hand its answer on.
+        """Send the request and relay the answer.
 
-        Settings and membership may have changed, or their age may have passed what is allowed,
-        while the connection was being made or this process was paused.
+        Admission and endpoint state are checked again first: while the connection was being made
+        or this process was paused, settings and membership may have changed or become too old.
         """
         problem = self._state.may_send(self._service, endpoint)
         if problem:
@@ -172,14 +172,14 @@
         if isinstance(admitted, Denial):
             self._give_up(plan.give_up(), admitted.reason.value, admitted)
             return AttemptEnd()
-        if self._is_quarantined(plan):
+        if self._refuse_if_quarantined(plan):
             return AttemptEnd()
         if not plan.before_send(boot_time_s()):
             self._give_up(plan.give_up(), "retry_budget")
             return AttemptEnd()
         reading = self._state.reading(self._service, endpoint, self._demand)
         self._state.note_send(self._service, endpoint)
-        call.send(self._message(endpoint, admitted, reading.source))
+        call.send(self._build_message(endpoint, admitted, reading.source))
         self._log.sent(
             endpoint,
             admitted.route,
@@ -188,7 +188,7 @@
             reading,
             service=self._service,
             attempt=plan.sends,
-            left_ms=int(self._left_s() * 1000),
+            left_ms=int(self._remaining_s() * 1000),
         )
         sent_s = endpoint.waits[call] = boot_time_s()
         endpoint.reading_tokens += reading.unread_tokens
@@ -202,17 +202,17 @@
             endpoint.pace.note(took_ms, boot_time_s())
         if head is not None and head.status == 200:
             self._state.note_first(self._service, reading, took_ms)
-        end = await self._take(call, head, endpoint, admitted)
+        end = await self._handle_answer(call, head, endpoint, admitted)
         is_bad = end.outcome is not None or (head is not None and head.status >= 500)
         endpoint.faults.note(is_bad, boot_time_s())
-        await self._note_end(call, endpoint)
+        await self._update_quarantine(call, endpoint)
         return end
 
-    async def _note_end(self, call: EndpointCall, endpoint: KnownEndpoint) -> None:
-        """Tell a request that was served from one under which its endpoint ended.
+    async def _update_quarantine(self, call: EndpointCall, endpoint: KnownEndpoint) -> None:
+        """Report to the quarantine whether the request was served or its endpoint crashed.
 
-        An endpoint that still accepts connections has only lost this one; one that is leaving ends
-        by plan.
+        If the endpoint still accepts connections, only this connection was lost. An endpoint that
+        announced its shutdown did not crash.
         """
         quarantine = self._state.quarantine
         if self._delivery.is_whole and call.is_complete:
@@ -221,10 +221,10 @@
         if may_have_crashed and await refuses_connections(endpoint.record.address):
             quarantine.note_crash(self._log.digest, endpoint)
 
-    async def _take(
+    async def _handle_answer(
         self, call: EndpointCall, head: Head | None, endpoint: KnownEndpoint, admitted: Admitted
     ) -> AttemptEnd:
-        """Judge an answer by its head, and hand it on."""
+        """Check the status and headers of an answer, then relay it or fail the attempt."""
         if head is None:
             endpoint.note_failure(boot_time_s())
             return AttemptEnd(Outcome.FAILED, call.problem)
@@ -240,61 +240,61 @@
             return await relay.stream()
         return await relay.hold(admitted.route.repeat)
 
-    def _message(
+    def _build_message(
         self, endpoint: KnownEndpoint, admitted: Admitted, source: KnownEndpoint | None
     ) -> bytes:
         return endpoint_message(
             self._request,
             admitted,
             endpoint.record.endpoint_id,
-            max(1, int(self._left_s() * 1000)),
+            max(1, int(self._remaining_s() * 1000)),
             self._delivery.position,
             source.record.address if source is not None else None,
         )
 
-    # Ends without an endpoint's answer
+    # Answers of the entry itself
 
     def _deny(self, denial: Denial) -> None:
         status = _DENIAL_STATUS[denial.reason] if denial.is_final else 503
-        self._finish(status, denial.reason.value)
+        self._answer_error(status, denial.reason.value)
 
     def _give_up(self, verdict: Verdict, reason: str, denial: Denial | None = None) -> None:
-        """End the request at once, with what is true of it."""
+        """End the request without another attempt; the verdict decides the answer."""
         if self._delivery.has_begun:
-            self._break_off(reason)
-        elif verdict is Verdict.DELIVER and self._error is not None:
-            self._delivery.pass_answer(*self._error)
+            self._abort_answer(reason)
+        elif verdict is Verdict.DELIVER and self._endpoint_error is not None:
+            self._delivery.pass_answer(*self._endpoint_error)
         elif verdict is not Verdict.REFUSE:
-            self._finish(502, reason)
+            self._answer_error(502, reason)
         elif denial is not None:
             self._deny(denial)
         else:
-            self._finish(503, reason)
+            self._answer_error(503, reason)
 
     def _time_out(self, plan: AttemptPlan) -> None:
-        """End a request whose time is over; nothing waits beyond its route's time-out."""
+        """End a request whose deadline or route timeout has expired."""
         if self._delivery.has_begun:
-            self._break_off("deadline")
+            self._abort_answer("deadline")
         else:
-            self._finish(504 if plan.sends else 503, "deadline")
+            self._answer_error(504 if plan.sends else 503, "deadline")
 
-    def _break_off(self, reason: str) -> None:
+    def _abort_answer(self, reason: str) -> None:
         self._log.write("broken_off", reason=reason)
         self._delivery.break_off()
 
-    def _finish(self, status: int, reason: str) -> None:
+    def _answer_error(self, status: int, reason: str) -> None:
         headers: Headers = [(b"content-type", b"text/plain")]
         if self._log.request_id:
             headers.append((REQUEST_ID, self._log.request_id.encode("latin-1")))
-        pause_s = self._pause_s(reason) if status == 503 else None
-        if pause_s is not None:
-            headers.append((RETRY_AFTER_S, b"%.2f" % pause_s))
+        retry_after_s = self._retry_after_s(reason) if status == 503 else None
+        if retry_after_s is not None:
+            headers.append((RETRY_AFTER_S, b"%.2f" % retry_after_s))
         event = "refused" if status == 503 else "failed"
         self._log.write(event, digest=self._log.digest, status=status, reason=reason)
         self._delivery.answer(status, headers, f"{reason}\n".encode())
 
-    def _pause_s(self, reason: str) -> float | None:
-        """Return when a caller is to come back that was refused; None to say nothing."""
+    def _retry_after_s(self, reason: str) -> float | None:
+        """Return the Retry-After value of a refusal in seconds; None to send no such header."""
         if reason == _QUARANTINED:
             return self._state.quarantine.left_s(self._log.digest)
         deadline_ms = self._needs.deadline_ms
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -1,4 +1,4 @@
-"""Log lines of one request."""
+"""Writes the log events of one request."""
 
 from typing import Any
 
@@ -11,11 +11,12 @@
 
 
 class ExchangeLog:
-    """Writes events with what all lines of a request carry.
+    """Writes log events with the fields that all events of a request share.
 
     Attributes:
-        request_id: The caller's id of this attempt; empty until it is read.
-        digest: The same for the same request under another id; empty until it is admitted.
+        request_id: Request id that the caller sent; empty until it is read.
+        digest: Hash of the request's content, equal for a repeat under another request id; empty
+            until the request is admitted.
     """
 
     def __init__(self, state: EntryState) -> None:
@@ -43,7 +44,7 @@
         reading: Reading,
         **fields: Any,
     ) -> None:
-        """Write that the request went to an endpoint, and what decided that."""
+        """Write that the request was sent to an endpoint, with the values behind that choice."""
         parts = demand.parts.ids
         known = self._state.endpoints_known
         self.write(
@@ -63,7 +64,7 @@
         )
 
     def ended(self, delivery: Delivery, arrived_s: float) -> None:
-        """Write what the caller got."""
+        """Write the status and latencies of the answer that the caller received."""
         first_s = delivery.first_s
         self.write(
             "answered" if delivery.is_whole else "not_answered",
--- a/src/beryljunction/gateway/front.py
+++ b/src/beryljunction/gateway/front.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections and runs an exchange for each request."""
+"""Accepts callers' connections and runs an exchange for each request."""
 
 import anyio
 import anyio.abc
@@ -12,17 +12,17 @@
 
 __all__ = ["Front"]
 
-_SWEEP_S = 0.5
-# Callers use connections that were idle for up to four fifths of the limit; one is closed a little
-# after the whole of it, so a request never crosses the close.
-_IDLE_SLACK_S = 1.0
+_SWEEP_INTERVAL_S = 0.5
+# Callers reuse connections that were idle for up to four fifths of the idle timeout. The entry
+# closes them this long after the full timeout, so that no request arrives on a closing connection.
+_IDLE_GRACE_S = 1.0
 
 
 class Front(CallerHandler):
-    """Callers' side of an entry.
+    """Serves the caller connections of an entry.
 
     Attributes:
-        leaving: Whether the process stops: answers then close their connections.
+        leaving: Whether the process is stopping; connections then close after their next answer.
     """
 
     def __init__(self, state: EntryState, group: anyio.abc.TaskGroup) -> None:
@@ -34,33 +34,33 @@
 
     @property
     def limits(self) -> CallerLimits:  # type: ignore[override]
-        """Limits in force."""
+        """Limits of the current settings, or the defaults before settings are read."""
         config = self._state.config
         return config.limits if config is not None else CallerLimits()
 
     @property
     def in_flight(self) -> int:
-        """Requests that are not answered yet."""
+        """Number of requests that are not answered yet."""
         return len(self._scopes)
 
     def opened(self, connection: CallerConnection) -> None:
-        """Keep the connection."""
+        """Track the connection."""
         self._connections.add(connection)
 
     def closed(self, connection: CallerConnection) -> None:
-        """End the work for a caller that has left, at its endpoint too."""
+        """Cancel the request of a caller that disconnected, which also aborts its endpoint call."""
         self._connections.discard(connection)
         scope = self._scopes.get(connection)
         if scope is not None:
             scope.cancel()
 
     def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
-        """Start an exchange."""
+        """Start an exchange for the request."""
         scope = self._scopes[connection] = anyio.CancelScope()
         self._group.start_soon(self._serve, connection, request, scope)
 
     def rejected(self, status: int, problem: str) -> None:
-        """Log what was no request."""
+        """Log a message that was rejected as an invalid request."""
         self._state.events.write("rejected", status=status, problem=problem)
 
     async def _serve(
@@ -71,8 +71,8 @@
             try:
                 await exchange.run()
             except Exception as error:  # noqa: BLE001
-                # A fault in the handling of one request must not end the others of this process;
-                # whether the request ran is not known, so its connection is broken.
+                # An error in one request must not stop the others of this process. Whether the
+                # request ran is unknown, so its connection is aborted without an answer.
                 self._state.events.write("fault", problem=repr(error), exc_info=True)
                 connection.abort()
             finally:
@@ -80,27 +80,27 @@
                     del self._scopes[connection]
 
     def leave(self) -> None:
-        """Close connections between requests from now on."""
+        """Close each connection after its next answer from now on."""
         self.leaving = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is being read or served."""
+        """Close the connections on which no request is being read or served."""
         for connection in list(self._connections):
             if connection.is_idle:
                 connection.close()
 
     async def sweep(self) -> None:
-        """Close what is idle or slow beyond the limits, until cancelled."""
+        """Close connections that exceed the idle or header timeout, until cancelled."""
         while True:
-            await anyio.sleep(_SWEEP_S)
+            await anyio.sleep(_SWEEP_INTERVAL_S)
             now_s = boot_time_s()
             for connection in list(self._connections):
-                self._check(connection, now_s)
+                self._enforce_timeouts(connection, now_s)
 
-    def _check(self, connection: CallerConnection, now_s: float) -> None:
+    def _enforce_timeouts(self, connection: CallerConnection, now_s: float) -> None:
         limits = self.limits
         if connection.is_idle:
-            if now_s - connection.idle_since_s > limits.idle_timeout_ms / 1000 + _IDLE_SLACK_S:
+            if now_s - connection.idle_since_s > limits.idle_timeout_ms / 1000 + _IDLE_GRACE_S:
                 connection.close()
             return
         begun_s = connection.begun_s
