--- a/src/beryljunction/gateway/delivery.py
+++ b/src/beryljunction/gateway/delivery.py
@@ -1,4 +1,4 @@
-"""What a caller gets: an answer of an endpoint, an own refusal, or a visible break."""
+"""Writes the answer to one caller: an endpoint's, the entry's own, or an aborted connection."""
 
 from typing import Protocol
 
@@ -11,33 +11,33 @@
 
 
 class Answering(Protocol):
-    """What a delivery needs of a caller's connection."""
+    """The methods of a caller's connection that a delivery uses."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Begin an answer of unknown length."""
+        """Write the head of an answer of unknown length."""
 
     async def write_part(self, data: bytes) -> None:
-        """Write a part of it."""
+        """Write a part of the answer."""
 
     def end(self) -> None:
-        """End it as complete."""
+        """Complete the answer."""
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection, so that the answer is visibly incomplete."""
 
 
 class Delivery:
-    """The answer to one request, over all endpoints that contribute to it.
+    """The answer to one request, which may combine a stream from several endpoints.
 
     Attributes:
-        has_begun: Whether the caller has the head of an answer.
-        position: Id of the last event that was handed on.
-        first_s: When the first byte was written, by the clock that goes on through a pause.
-        status: Status that the caller got; 0 for none.
-        is_whole: Whether the answer was ended as complete.
+        has_begun: Whether the head of an answer was written.
+        position: Id of the last event that was written; None before the first with an id.
+        first_s: Boot time at which the first byte was written; that clock counts suspended time.
+        status: Status that was written; 0 before that.
+        is_whole: Whether the answer was completed.
     """
 
     def __init__(self, caller: Answering) -> None:
@@ -49,45 +49,45 @@
         self.is_whole = False
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer of this entry's own."""
-        self._note(status)
+        """Write a complete answer."""
+        self._record_start(status)
         self.is_whole = True
         self._caller.answer(status, headers, body)
 
     def pass_answer(self, head: Head, body: bytes) -> None:
-        """Write a whole answer of an endpoint."""
-        self.answer(head.status, _kept_headers(head), body)
+        """Write a complete answer of an endpoint, without the headers meant for the entry."""
+        self.answer(head.status, _end_to_end_headers(head), body)
 
     def begin(self, head: Head) -> None:
-        """Begin with the head of an endpoint; the first one's stays when another goes on."""
+        """Write an endpoint's head; does nothing when another endpoint continues the answer."""
         if self.has_begun:
             return
         self.has_begun = True
-        self._note(head.status)
-        self._caller.begin(head.status, _kept_headers(head))
+        self._record_start(head.status)
+        self._caller.begin(head.status, _end_to_end_headers(head))
 
     async def write_part(self, data: bytes) -> None:
-        """Write a part of an answer that has begun."""
+        """Write a part of the answer; `begin` must have been called."""
         await self._caller.write_part(data)
 
     async def write_events(self, head: Head, events: list[StreamEvent]) -> None:
-        """Write the events that the caller does not have yet."""
-        fresh = b"".join(event.raw for event in events if self._is_new(event))
+        """Write the events that the caller hasn't received yet."""
+        fresh = b"".join(event.raw for event in events if self._advance_position(event))
         if fresh:
             self.begin(head)
             await self._caller.write_part(fresh)
 
     def end(self, head: Head) -> None:
-        """End an answer as complete."""
+        """Complete the answer."""
         self.begin(head)
         self.is_whole = True
         self._caller.end()
 
     def break_off(self) -> None:
-        """Break the connection: an answer that can't be completed must not look complete."""
+        """Abort the connection, so that an incomplete answer doesn't look complete."""
         self._caller.abort()
 
-    def _is_new(self, event: StreamEvent) -> bool:
+    def _advance_position(self, event: StreamEvent) -> bool:
         if event.position is None:
             return True
         if self.position is not None and event.position <= self.position:
@@ -95,11 +95,11 @@
         self.position = event.position
         return True
 
-    def _note(self, status: int) -> None:
+    def _record_start(self, status: int) -> None:
         self.status = status
         self.first_s = boot_time_s()
 
 
-def _kept_headers(head: Head) -> Headers:
+def _end_to_end_headers(head: Head) -> Headers:
     dropped = hop_by_hop(head.headers, frozenset()) | ENDPOINT_ONLY
     return [line for line in head.headers if line[0] not in dropped]
--- a/src/beryljunction/gateway/eventstream.py
+++ b/src/beryljunction/gateway/eventstream.py
@@ -1,26 +1,26 @@
-"""Splits an event stream into whole events, so that none is handed on in part."""
+"""Splits an event stream into complete events, so that no partial event is relayed."""
 
 import attrs
 
 __all__ = ["EventSplitter", "StreamEvent"]
 
-# An event larger than this is no event of a stream; the answer is given up.
-_MOST_EVENT_BYTES = 1_048_576
+# The answer fails when an event is larger than this.
+_MAX_EVENT_BYTES = 1_048_576
 
 
 @attrs.frozen
 class StreamEvent:
-    """One event with its closing blank line; `position` is its id where that is a number."""
+    """One event including its final blank line; `position` is its id if that is a number."""
 
     raw: bytes
     position: int | None
 
 
 class EventSplitter:
-    """Collects parts of a stream until an event is whole.
+    """Buffers parts of a stream until an event is complete.
 
     Attributes:
-        rest: Bytes of the event that has begun.
+        rest: Bytes of the incomplete event at the end of the data so far.
     """
 
     def __init__(self) -> None:
@@ -28,11 +28,11 @@
 
     @property
     def is_overlong(self) -> bool:
-        """Whether the event that has begun is too long to be one."""
-        return len(self.rest) > _MOST_EVENT_BYTES
+        """Whether the incomplete event exceeds the size limit."""
+        return len(self.rest) > _MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now."""
+        """Add data and return the events that it completes."""
         pieces = (self.rest + data).split(b"\n\n")
         self.rest = pieces.pop()
         return [StreamEvent(piece + b"\n\n", _position(piece)) for piece in pieces]
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -286,9 +286,9 @@
         headers: Headers = [(b"content-type", b"text/plain")]
         if self._log.request_id:
             headers.append((REQUEST_ID, self._log.request_id.encode("latin-1")))
-        retry_after_s = self._retry_after_s(reason) if status == 503 else None
-        if retry_after_s is not None:
-            headers.append((RETRY_AFTER_S, b"%.2f" % retry_after_s))
+        delay_s = self._retry_after_s(reason) if status == 503 else None
+        if delay_s is not None:
+            headers.append((RETRY_AFTER_S, b"%.2f" % delay_s))
         event = "refused" if status == 503 else "failed"
         self._log.write(event, digest=self._log.digest, status=status, reason=reason)
         self._delivery.answer(status, headers, f"{reason}\n".encode())
--- a/src/beryljunction/gateway/messages.py
+++ b/src/beryljunction/gateway/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as they are read from callers and endpoints."""
+"""HTTP requests and response heads, as read from callers and endpoints."""
 
 from collections.abc import Iterable
 
@@ -41,12 +41,12 @@
 
 @attrs.define
 class HttpRequest:
-    """A caller's request, read whole.
+    """A caller's complete request.
 
     Attributes:
         target: Path and query, byte for byte.
         headers: Names in lower case.
-        arrived_s: When its first byte was read, by the clock that goes on through a pause.
+        arrived_s: Boot time at which its first byte was read; that clock counts suspended time.
     """
 
     method: bytes
@@ -76,12 +76,12 @@
 
 
 def hop_by_hop(headers: Iterable[tuple[bytes, bytes]], kept: frozenset[bytes]) -> frozenset[bytes]:
-    """Return the names of headers that concern one connection only.
+    """Return the names of hop-by-hop headers, which a proxy must not forward.
 
     Args:
         headers: Headers of a message.
-        kept: Names that stay, even when the message's Connection header lists them: a caller could
-            else have the identity of its request removed on the way.
+        kept: Names that are forwarded even if the message's Connection header lists them, so that
+            a caller can't have the headers that identify its request removed.
     """
     listed = {
         token.strip().lower()
