--- a/src/beryljunction/gateway/__init__.py
+++ b/src/beryljunction/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""An entry that calls endpoints directly: connections, exchanges, and the life of the process."""
+"""An entry that calls endpoints directly: connections, request handling, process lifecycle."""
--- a/src/beryljunction/gateway/metrics.py
+++ b/src/beryljunction/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of an entry, in the text form that Prometheus scrapes."""
+"""Counters and latency histograms of an entry, in the Prometheus text format."""
 
 import bisect
 import collections
@@ -7,45 +7,45 @@
 
 __all__ = ["EntryMetrics"]
 
-# Bounds around the aims for a first token (0.32 s at the target, 0.2 to 0.6 s today), in ms.
-_BOUNDS_MS = (10, 25, 50, 100, 200, 320, 400, 600, 1_000, 2_000, 5_000, 15_000)
-# Events with a counter of their own: name of the metric, field for its label.
-_COUNTED = {
+# Histogram buckets around the first-token latency: target 0.32 s, currently 0.2 to 0.6 s.
+_BUCKETS_MS = (10, 25, 50, 100, 200, 320, 400, 600, 1_000, 2_000, 5_000, 15_000)
+# Events with a separate counter: metric name, and the event field used as its label.
+_LABELLED_COUNTERS = {
     "refused": ("beryl_refusals", "reason"),
     "failed": ("beryl_failures", "reason"),
     "broken_off": ("beryl_broken_streams", "reason"),
     "attempt_ended": ("beryl_attempts_ended", "outcome"),
     "answered": ("beryl_answers", "status"),
 }
-_LATENCIES = (("first_ms", "beryl_first_byte"), ("whole_ms", "beryl_whole_answer"))
+_LATENCY_METRICS = (("first_ms", "beryl_first_byte"), ("whole_ms", "beryl_whole_answer"))
 
 
-class _Latency:
-    """Counts of measurements up to each bound."""
+class _LatencyHistogram:
+    """Histogram with a count per bucket, not cumulative, and the sum of its values."""
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(_BOUNDS_MS) + 1)
+        self.counts = [0] * (len(_BUCKETS_MS) + 1)
         self.sum_ms = 0.0
 
     def note(self, value_ms: float) -> None:
-        self.counts[bisect.bisect_left(_BOUNDS_MS, value_ms)] += 1
+        self.counts[bisect.bisect_left(_BUCKETS_MS, value_ms)] += 1
         self.sum_ms += value_ms
 
 
 class EntryMetrics:
-    """Counts events; the library that writes them out is loaded at the first scrape.
+    """Counts events and renders them for Prometheus.
 
-    Loaded at the start it would cost 5 MB on every host and 80 ms of each start, which callers wait
-    for after a loss of power; most processes are never scraped. Labels have few values each:
-    events, reasons, outcomes, status codes.
+    prometheus_client is imported at the first scrape, because most processes are never scraped. An
+    import at startup would take 5 MB on every host and add 80 ms to each start, for which callers
+    wait after a power loss. Each label has few values: events, reasons, outcomes, status codes.
     """
 
     def __init__(self) -> None:
         self._events: collections.Counter[str] = collections.Counter()
         self._labelled: dict[str, collections.Counter[str]] = {
-            name: collections.Counter() for name, _ in _COUNTED.values()
+            name: collections.Counter() for name, _ in _LABELLED_COUNTERS.values()
         }
-        self._latencies = {name: _Latency() for _, name in _LATENCIES}
+        self._latencies = {name: _LatencyHistogram() for _, name in _LATENCY_METRICS}
         self._gauges: dict[str, tuple[str, Callable[[], float]]] = {}
 
     def watch(self, name: str, documentation: str, read: Callable[[], float]) -> None:
@@ -53,19 +53,19 @@
         self._gauges[name] = (documentation, read)
 
     def count(self, event: str, fields: dict[str, Any]) -> None:
-        """Count an event of the log, also one whose line is left out."""
+        """Count a log event, including one whose line the rate limit drops."""
         self._events[event] += 1
-        if event in _COUNTED:
-            metric, label = _COUNTED[event]
+        if event in _LABELLED_COUNTERS:
+            metric, label = _LABELLED_COUNTERS[event]
             self._labelled[metric][str(fields.get(label, ""))] += 1
         if event == "answered":
-            for field, metric in _LATENCIES:
+            for field, metric in _LATENCY_METRICS:
                 value_ms = fields.get(field)
                 if value_ms is not None:
                     self._latencies[metric].note(value_ms)
 
     def render(self) -> bytes:
-        """Return the text that Prometheus scrapes."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
@@ -73,7 +73,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Any]:
-        """Yield the metric families, as a collector of the library does."""
+        """Yield the metric families; this is the collector interface of prometheus_client."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -84,23 +84,23 @@
         for event, count in self._events.items():
             events.add_metric([event], count)
         yield events
-        for name, label in _COUNTED.values():
+        for name, label in _LABELLED_COUNTERS.values():
             family = CounterMetricFamily(name, f"Requests by {label}.", labels=[label])
             for value, count in self._labelled[name].items():
                 family.add_metric([value], count)
             yield family
         for name, latency in self._latencies.items():
             histogram = HistogramMetricFamily(f"{name}_seconds", "Time since the arrival.")
-            histogram.add_metric([], _cumulated(latency), latency.sum_ms / 1000)
+            histogram.add_metric([], _cumulative_buckets(latency), latency.sum_ms / 1000)
             yield histogram
         for name, (documentation, read) in self._gauges.items():
             yield GaugeMetricFamily(name, documentation, value=read())
 
 
-def _cumulated(latency: _Latency) -> list[tuple[str, float]]:
+def _cumulative_buckets(latency: _LatencyHistogram) -> list[tuple[str, float]]:
     total = 0.0
     rows = []
-    bounds = [str(bound / 1000) for bound in _BOUNDS_MS]
+    bounds = [str(bound / 1000) for bound in _BUCKETS_MS]
     for bound, count in zip([*bounds, "+Inf"], latency.counts, strict=True):
         total += count
         rows.append((bound, total))
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -1,4 +1,4 @@
-"""Answers operators who ask an entry for its status and its latest events."""
+"""HTTP handler that gives operators the status and latest events of an entry."""
 
 import json
 import re
@@ -15,23 +15,23 @@
 
 __all__ = ["OperatorHandler", "operator_digests"]
 
-_LAST_EVENTS = 1_000
+_DEFAULT_EVENT_COUNT = 1_000
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 
 
 def operator_digests(text: str) -> tuple[str, ...]:
-    """Return the SHA-256 digests in a list with commas between them; others are left out."""
+    """Return the SHA-256 digests in a comma-separated list; other values are ignored."""
     return tuple(part for part in text.split(",") if _SHA256.fullmatch(part))
 
 
 class OperatorHandler(ProbeHandler):
-    """Serves metrics as the probes' address does, and with a key what names requests.
+    """Serves readiness and metrics to anyone, and status and events to holders of a key.
 
     Args:
-        is_ready: Whether callers are welcome.
-        events: Metrics, and the latest events where they are kept.
-        status: Returns what this process says of itself.
-        digests: SHA-256 of each key that is taken; without any, only metrics are shown.
+        is_ready: Returns whether the entry accepts callers.
+        events: Event log, with the metrics and, if they are kept, the latest events.
+        status: Returns the status of this process.
+        digests: SHA-256 of each accepted key; without any, status and events are refused.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
         self._digests = digests
 
     def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
-        """Answer at once."""
-        answers = {STATUS_PATH: self._tell_status, EVENTS_PATH: self._tell_events}
+        """Answer with status, events, metrics or readiness, depending on the path."""
+        answers = {STATUS_PATH: self._status_body, EVENTS_PATH: self._events_body}
         answer = answers.get(request.path)
         if answer is None:
             super().requested(connection, request)
@@ -58,14 +58,14 @@
             headers = [(b"content-type", b"application/json")]
             connection.answer(200, headers, json.dumps(answer(request)).encode())
 
-    def _tell_status(self, _: HttpRequest) -> object:
+    def _status_body(self, _: HttpRequest) -> object:
         return attrs.asdict(self._status())
 
-    def _tell_events(self, request: HttpRequest) -> object:
+    def _events_body(self, request: HttpRequest) -> object:
         query = parse_qs(request.target.partition(b"?")[2].decode("latin-1"))
         wanted = query.get("request_id", [None])[0]
         last = query.get("last", [""])[0]
-        count = int(last) if last.isdecimal() else _LAST_EVENTS
+        count = int(last) if last.isdecimal() else _DEFAULT_EVENT_COUNT
         timeline = self._events.timeline
         events = timeline.events(wanted)[-count:] if timeline is not None else []
         return {"events": [attrs.astuple(event) for event in events]}
--- a/src/beryljunction/gateway/outgoing.py
+++ b/src/beryljunction/gateway/outgoing.py
@@ -1,4 +1,4 @@
-"""Writes the request that an endpoint gets."""
+"""Builds the request that is sent to an endpoint."""
 
 from beryljunction.gateway.messages import HttpRequest, hop_by_hop
 from beryljunction.platform.requests import MUST_STAY, endpoint_headers, with_last_event
@@ -15,15 +15,17 @@
     position: int | None,
     fetch_from: tuple[str, int] | None,
 ) -> bytes:
-    """Return the bytes to send: method, target and body as the caller sent them.
+    """Return the request to send; method, target and body are the caller's, unchanged.
 
     Args:
-        request: The caller's request, read whole, so its body has a length now.
+        request: The caller's complete request; a chunked body is sent with a Content-Length.
         admitted: The route and client account that it was admitted for.
-        endpoint_id: The only endpoint that may run it.
-        left_ms: Time that the caller still waits.
-        position: Id of the last event that the caller has of a stream that is taken up.
-        fetch_from: Endpoint that keeps more of the prompt.
+        endpoint_id: The only endpoint that may run the request.
+        left_ms: Time until the deadline.
+        position: Id of the last event that the caller received of a stream to resume; None to
+            start from the beginning.
+        fetch_from: Address of an endpoint that has more of the prompt in its KV cache; None for
+            none.
     """
     route, account = admitted.route, admitted.account
     lines = request.headers
--- a/src/beryljunction/gateway/probes.py
+++ b/src/beryljunction/gateway/probes.py
@@ -1,4 +1,4 @@
-"""Answers the balancer's question whether this entry is ready, and serves metrics."""
+"""Answers the readiness probes of the load balancer and serves metrics."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class ProbeHandler(CallerHandler):
-    """Says 200 to any question while the entry is ready, else 503."""
+    """Serves metrics; answers every other path with 200 if the entry is ready, else with 503."""
 
     def __init__(self, is_ready: Callable[[], bool], render: Callable[[], bytes]) -> None:
         self.limits = CallerLimits()
@@ -27,7 +27,7 @@
         """Do nothing."""
 
     def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
-        """Answer at once."""
+        """Answer with the metrics or the readiness."""
         if request.path == METRICS_PATH:
             headers = [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")]
             connection.answer(200, headers, self._render())
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -1,4 +1,4 @@
-"""The life of an entry on the platform: start, ready, stop without cutting an answer."""
+"""Lifecycle of an entry process on the platform: startup, readiness, reload and draining."""
 
 import asyncio
 import math
@@ -41,32 +41,34 @@
 
 __all__ = ["EntryProcess"]
 
-# The balancer asks once a second and takes two misses; new connections come until then.
-_BALANCER_NOTICES_S = 2.6
-# Time left for the process to end before it would be killed.
-_END_MARGIN_S = 0.6
-_STOP_STEP_S = 0.1
-# Callers who come while a process starts wait this long at most for its first read of the store
-# (20 ms when all is well); then they are told to come back.
-_FIRST_READ_S = 0.3
-# The platform may change the settings file without a signal; a look costs one system call.
-_FILE_CHECK_S = 2.0
+# The load balancer probes once a second and removes an entry after two failures; until then new
+# connections arrive.
+_PROBE_FAILURE_DELAY_S = 2.6
+# Time reserved for the process to exit before the platform kills it.
+_EXIT_MARGIN_S = 0.6
+_DRAIN_POLL_INTERVAL_S = 0.1
+# Callers that connect during startup wait up to this long for the first read of the store, which
+# normally takes 20 ms; after that they are answered with 503 and Retry-After.
+_FIRST_READ_TIMEOUT_S = 0.3
+# The platform may change the settings file without a signal; a check costs one system call.
+_FILE_CHECK_INTERVAL_S = 2.0
 
 
 class EntryProcess:
-    """One entry: listeners, followers of the store, and the stop.
+    """Runs one entry: its listeners, the tasks that follow the store, and the shutdown.
 
     Args:
-        host: What the platform says at the start.
-        events: The log.
-        early: Socket of callers that was opened before this process was loaded; None for none.
+        host: Settings of this host, as read at startup.
+        events: The event log.
+        early: Listening socket for callers, opened before most modules were imported; None if
+            there is none.
     """
 
     def __init__(
         self, host: HostSettings, events: Events, early: socket.socket | None = None
     ) -> None:
         self._host = host
-        self._early = early
+        self._early_socket = early
         self._events = events
         self._state = EntryState(host, events)
         self._stopping = anyio.Event()
@@ -74,7 +76,7 @@
     def _is_ready(self) -> bool:
         return not self._stopping.is_set() and self._state.is_ready()
 
-    def _watch_gauges(self, front: Front) -> None:
+    def _register_gauges(self, front: Front) -> None:
         state, metrics = self._state, self._events.metrics
         metrics.watch(
             "beryl_settings_age_seconds",
@@ -120,7 +122,7 @@
         metrics.watch("beryl_log_lines_left_out", "Lines left out.", lambda: self._events.left_out)
 
     def _operator_handler(self, front: Front) -> OperatorHandler:
-        """Return what serves the metrics' address; events are kept only where a key is set."""
+        """Return the handler of the metrics address; keep events only if an operator key is set."""
         digests = operator_digests(self._host.operator_keys)
         if digests:
             self._events.keep_latest()
@@ -134,9 +136,9 @@
             host=self._host.host,
             availability_zone=self._host.availability_zone,
             settings_version=state.config.version if state.config is not None else 0,
-            settings_age_s=_finite(state.lease.age_s(now_s)),
-            endpoints_age_s=_finite(state.endpoints_known.age_s(now_s)),
-            not_ready="" if self._is_ready() else self._why_not_ready(),
+            settings_age_s=_rounded_age_s(state.lease.age_s(now_s)),
+            endpoints_age_s=_rounded_age_s(state.endpoints_known.age_s(now_s)),
+            not_ready="" if self._is_ready() else self._not_ready_reason(),
             endpoints=len(state.registry),
             in_flight=front.in_flight,
             reads_from=self._reads_from(),
@@ -151,27 +153,27 @@
 
     def _reads_from(self) -> str:
         fan_out = self._state.fan_out
-        is_told = self._state.mechanisms.shared_reads and not fan_out.is_reader
-        return ",".join(fan_out.upstream()) if is_told else "store"
+        reads_peers = self._state.mechanisms.shared_reads and not fan_out.is_reader
+        return ",".join(fan_out.upstream()) if reads_peers else "store"
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self._stopping.is_set():
             return "leaving"
         if self._state.config is None:
             return "no settings"
         return "settings too old" if self._state.registry.is_loaded else "no endpoints"
 
-    def _note_bad_era(self, problem: str) -> None:
+    def _log_refused_era(self, problem: str) -> None:
         self._events.write("store_era_refused", problem=problem)
 
     def stop(self) -> None:
-        """Begin to stop; a second call changes nothing."""
+        """Start the shutdown; further calls have no effect."""
         self._stopping.set()
 
     async def run_until_signal(self) -> None:
-        """Run until SIGTERM or SIGINT; further ones don't hurry a stop that is under way."""
+        """Run until SIGTERM or SIGINT; repeated signals don't shorten the drain."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._take_signals)
+            group.start_soon(self._handle_signals)
             await self.run()
             group.cancel_scope.cancel()
 
@@ -179,11 +181,13 @@
         """Run until stopped.
 
         Raises:
-            StartError: An address can't be listened on.
+            StartError: A listening socket can't be opened.
         """
         switched_off = ",".join(self._host.mechanisms.off)
-        self._events.write("started", callers=_text(self._host.callers), switched_off=switched_off)
-        store = HttpStore(self._host.store, self._note_bad_era)
+        self._events.write(
+            "started", callers=_format_address(self._host.callers), switched_off=switched_off
+        )
+        store = HttpStore(self._host.store, self._log_refused_era)
         async with store, anyio.create_task_group() as group:
             front = Front(self._state, group)
             probes = ProbeHandler(self._is_ready, self._events.metrics.render)
@@ -191,28 +195,28 @@
             await _listen(probes, self._host.probes)
             if self._host.metrics is not None:
                 await _listen(self._operator_handler(front), self._host.metrics)
-            self._watch_gauges(front)
+            self._register_gauges(front)
             is_shared = self._state.mechanisms.shared_reads
             schedule = FanOutSchedule(self._state) if is_shared else ALWAYS_POLL
             config = ConfigWatcher(store, self._state, schedule)
             endpoints = EndpointWatcher(store, self._state, schedule)
             group.start_soon(config.run)
             group.start_soon(endpoints.run)
-            with anyio.move_on_after(_FIRST_READ_S):
+            with anyio.move_on_after(_FIRST_READ_TIMEOUT_S):
                 await config.is_known.wait()
                 await endpoints.is_known.wait()
             listener = await _serve(front, callers)
             group.start_soon(front.sweep)
-            group.start_soon(self._watch_file)
-            registration = await self._join_peers(group, store, config, endpoints, schedule)
+            group.start_soon(self._watch_settings_file)
+            registration = await self._start_peer_tasks(group, store, config, endpoints, schedule)
             await self._stopping.wait()
-            await self._wind_down(front, listener)
+            await self._drain(front, listener)
             if registration is not None:
                 await registration.withdraw()
             group.cancel_scope.cancel()
         self._events.write("stopped")
 
-    async def _join_peers(
+    async def _start_peer_tasks(
         self,
         group: anyio.abc.TaskGroup,
         store: Store,
@@ -220,9 +224,9 @@
         endpoints: EndpointWatcher,
         schedule: PollSchedule,
     ) -> Registration | None:
-        """Answer other entries, and ask them while the store is out of reach.
+        """Start the tasks that exchange data with other entries.
 
-        Callers are served without it, so an address that can't be had is only logged.
+        Callers can be served without them, so a peer address that is not available is only logged.
         """
         address = self._host.peers
         if address is None:
@@ -248,35 +252,35 @@
         return registration
 
     def _callers_socket(self) -> socket.socket:
-        """Return the socket that callers connect to; the early one where it is at that address."""
-        early, address = self._early, self._host.callers
+        """Return the listening socket for callers: the early one if its address matches."""
+        early, address = self._early_socket, self._host.callers
         if early is not None:
             if early.getsockname() == address:
                 return early
             early.close()
         return _open(address)
 
-    async def _wind_down(self, front: Front, listener: asyncio.Server) -> None:
-        """Serve on until the balancer has noticed, then end what is in flight and close.
+    async def _drain(self, front: Front, listener: asyncio.Server) -> None:
+        """Serve until the load balancer has removed this entry, then finish requests in flight.
 
-        Kept connections are closed between requests: with their next answer, or when the listener
-        closes while nothing is being read on them.
+        Persistent connections are closed after their next answer, or, once the listener is closed,
+        while they are idle.
         """
         started_s = time.monotonic()
-        ends_s = started_s + self._host.bounds.grace_s - _END_MARGIN_S
+        ends_s = started_s + self._host.bounds.grace_s - _EXIT_MARGIN_S
         front.leave()
         self._events.write("stopping", in_flight=front.in_flight)
-        await anyio.sleep(_BALANCER_NOTICES_S)
+        await anyio.sleep(_PROBE_FAILURE_DELAY_S)
         listener.close()
         while time.monotonic() < ends_s:
             front.close_idle()
             if front.in_flight == 0:
                 break
-            await anyio.sleep(_STOP_STEP_S)
+            await anyio.sleep(_DRAIN_POLL_INTERVAL_S)
         if front.in_flight:
             self._events.write("cut", in_flight=front.in_flight)
 
-    async def _take_signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async for number in signals:
                 if number == signal.SIGHUP:
@@ -284,21 +288,21 @@
                 else:
                     self.stop()
 
-    async def _watch_file(self) -> None:
+    async def _watch_settings_file(self) -> None:
         """Reload when the settings file has changed without a signal."""
-        seen = _file_stamp()
+        seen = _settings_file_mtime_ns()
         while True:
-            await anyio.sleep(_FILE_CHECK_S)
-            stamp = _file_stamp()
-            if stamp != seen:
-                seen = stamp
+            await anyio.sleep(_FILE_CHECK_INTERVAL_S)
+            mtime_ns = _settings_file_mtime_ns()
+            if mtime_ns != seen:
+                seen = mtime_ns
                 self.reload()
 
     def reload(self) -> None:
-        """Read the settings file again; the last good one holds where the new one can't be used.
+        """Read the settings file again; if it is invalid, keep the current settings.
 
-        Bounds are put in force at once. Addresses are those of the start: a process that listened
-        elsewhere in the middle of its life would lose its callers.
+        Bounds are applied at once. Changed addresses take effect only at the next start, because a
+        process that moved its listeners would lose its callers.
         """
         try:
             host = read_host_settings()
@@ -322,21 +326,23 @@
     try:
         return open_listener(address)
     except OSError as error:
-        raise StartError(f"{_text(address)}: expected a free address, got {error}") from error
+        raise StartError(
+            f"{_format_address(address)}: expected a free address, got {error}"
+        ) from error
 
 
-def _file_stamp() -> int:
-    """Return when the settings file was changed; 0 while there is none."""
+def _settings_file_mtime_ns() -> int:
+    """Return the modification time of the settings file in ns; 0 if there is none."""
     try:
         return os.stat(os.environ.get(SETTINGS_VARIABLE, "")).st_mtime_ns
     except OSError:
         return 0
 
 
-def _finite(age_s: float) -> float | None:
-    """Return an age in whole milliseconds; None before the first confirmation."""
+def _rounded_age_s(age_s: float) -> float | None:
+    """Return an age in seconds, rounded to 1 ms; None before the first confirmation."""
     return round(age_s, 3) if math.isfinite(age_s) else None
 
 
-def _text(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Reads an endpoint's answer and hands it on: whole, as events, or not at all."""
+"""Reads an endpoint's answer and relays it: buffered, or as a stream of complete events."""
 
 import attrs
 
@@ -11,9 +11,9 @@
 
 __all__ = ["AttemptEnd", "Relay"]
 
-# Answers up to this size are read whole before a byte goes to the caller, so that one that breaks
-# off can still become an honest failure or be asked for elsewhere.
-_MOST_HELD_BYTES = 1_048_576
+# Answers up to this size are buffered completely before a byte is sent to the caller, so that an
+# interrupted answer can still become an error status or a retry at another endpoint.
+_MAX_HELD_ANSWER_BYTES = 1_048_576
 
 
 @attrs.frozen
@@ -21,8 +21,9 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: None when the caller has its answer.
-        error: An endpoint's own error, to be handed on if nothing better follows.
+        outcome: Why the attempt failed; None when the caller has its answer.
+        detail: Problem or status, for the log.
+        error: Error answer of the endpoint, relayed if no later attempt succeeds.
     """
 
     outcome: Outcome | None = None
@@ -31,7 +32,7 @@
 
 
 class Relay:
-    """Hands one endpoint's answer to a caller."""
+    """Relays one endpoint's answer to a caller."""
 
     def __init__(self, call: EndpointCall, head: Head, delivery: Delivery, pace: Pace) -> None:
         self._call = call
@@ -40,18 +41,18 @@
         self._pace = pace
 
     async def hold(self, repeat: Repeat) -> AttemptEnd:
-        """Read the answer whole, then hand it on; one that is very large goes on as it comes."""
+        """Buffer the answer, then relay it; a very large one is relayed as it arrives."""
         parts: list[bytes] = []
         size = 0
         while (part := await self._call.part()) is not None:
             parts.append(part)
             size += len(part)
-            if size > _MOST_HELD_BYTES and not self._delivery.has_begun:
-                return await self._pass_on(parts)
+            if size > _MAX_HELD_ANSWER_BYTES and not self._delivery.has_begun:
+                return await self._forward(parts)
         if not self._call.is_complete:
             return AttemptEnd(Outcome.FAILED, self._call.problem)
         if self._delivery.has_begun:
-            detail = f"status {self._head.status} in place of the rest of a stream"
+            detail = f"expected the rest of a stream, got status {self._head.status}"
             return AttemptEnd(Outcome.FAILED, detail)
         body = b"".join(parts)
         if self._head.status >= 500 and repeat is not Repeat.NEVER:
@@ -59,7 +60,7 @@
         self._delivery.pass_answer(self._head, body)
         return AttemptEnd()
 
-    async def _pass_on(self, parts: list[bytes]) -> AttemptEnd:
+    async def _forward(self, parts: list[bytes]) -> AttemptEnd:
         self._delivery.begin(self._head)
         for part in parts:
             await self._delivery.write_part(part)
@@ -71,25 +72,25 @@
         return AttemptEnd()
 
     async def stream(self) -> AttemptEnd:
-        """Hand events on as they come: whole ones only, and each once."""
+        """Relay complete events as they arrive, each once."""
         splitter = EventSplitter()
-        before_s: float | None = None
+        previous_s: float | None = None
         while (part := await self._call.part()) is not None:
             events = splitter.feed(part)
-            before_s = self._note_pace(before_s, len(events))
+            previous_s = self._record_pace(previous_s, len(events))
             await self._delivery.write_events(self._head, events)
             if splitter.is_overlong:
-                return AttemptEnd(Outcome.FAILED, "an event without end")
+                return AttemptEnd(Outcome.FAILED, "event exceeds the size limit")
         if not self._call.is_complete or splitter.rest:
-            return AttemptEnd(Outcome.FAILED, self._call.problem or "an event that ends early")
+            return AttemptEnd(Outcome.FAILED, self._call.problem or "answer ended within an event")
         self._delivery.end(self._head)
         return AttemptEnd()
 
-    def _note_pace(self, before_s: float | None, count: int) -> float | None:
-        """Measure the time between events; the first one's is the prompt's, not a step's."""
+    def _record_pace(self, previous_s: float | None, count: int) -> float | None:
+        """Record the time between events, but not that before the first one, which is prefill."""
         if not count:
-            return before_s
+            return previous_s
         now_s = boot_time_s()
-        if before_s is not None:
-            self._pace.note((now_s - before_s) * 1000 / count, now_s)
+        if previous_s is not None:
+            self._pace.note((now_s - previous_s) * 1000 / count, now_s)
         return now_s
--- a/src/beryljunction/gateway/sockets.py
+++ b/src/beryljunction/gateway/sockets.py
@@ -1,4 +1,4 @@
-"""Time-outs of TCP sockets, by which connections whose other end is gone are found."""
+"""TCP timeouts that detect connections whose remote end is unreachable."""
 
 import socket
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class SocketTimeouts:
-    """How long a connection may be without a sign of the other end.
+    """TCP user timeout and keepalive settings of a connection.
 
     Attributes:
-        unacked_ms: Time for which sent bytes may stay unacknowledged.
-        idle_s: Time without traffic after which the other end is asked.
-        interval_s: Time between such questions.
-        probes: Unanswered questions after which the connection is given up.
+        unacked_ms: Time that sent data may stay unacknowledged before the connection fails.
+        idle_s: Time without traffic after which keepalive probes are sent.
+        interval_s: Time between probes.
+        probes: Number of unanswered probes after which the connection fails.
     """
 
     unacked_ms: int
@@ -24,17 +24,17 @@
     probes: int
 
 
-# Load: a host is cut off, or something between the ends has lost track of a connection. Harm: a
-# stream hangs until its deadline, though another endpoint could take it up. Callers give a stream
-# up after 2 s of silence and more, so it is found in about that time.
+# If a host loses its network, or a middlebox drops a connection's state, a stream would hang until
+# its deadline although another endpoint could resume it. Callers abandon a stream after 2 s of
+# silence or more, so the loss is detected in about that time.
 ENDPOINT_TIMEOUTS = SocketTimeouts(unacked_ms=1_500, idle_s=1, interval_s=1, probes=2)
-# Harm on the callers' side: an endpoint works for somebody who is gone, and the descriptor is kept.
-# Callers may be on slow links, so they get longer; their requests have time-outs of their own.
+# An undetected loss of a caller keeps its endpoint working for nobody and a file descriptor open.
+# Callers may be on slow links, so these are longer; requests have separate timeouts.
 CALLER_TIMEOUTS = SocketTimeouts(unacked_ms=8_000, idle_s=10, interval_s=5, probes=3)
 
 
 def set_timeouts(sock: socket.socket, timeouts: SocketTimeouts) -> None:
-    """Set the time-outs of a TCP socket."""
+    """Set the timeouts of a TCP socket."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, timeouts.idle_s)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, timeouts.interval_s)
