--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -1,4 +1,4 @@
-"""An entry on loopback with the store's stand-in and endpoints that do as a test says."""
+"""Test harness: an entry on loopback with a fake store and scripted endpoints."""
 
 import asyncio
 import contextlib
@@ -60,7 +60,7 @@
 
 
 def reset(writer):
-    """Reset a connection; closing alone would end it in an orderly way."""
+    """Reset a connection, where `close` would shut it down in an orderly way."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -98,7 +98,7 @@
 
 
 class ScriptedEndpoint:
-    """A raw server; `script(answer, writer, number)` says what it does with its n-th request."""
+    """A raw server; `script(answer, writer, number)` handles request `number`, counted from 0."""
 
     def __init__(self, name, service, script=None):
         self.name = name
@@ -149,7 +149,7 @@
 
 
 class World:
-    """Everything around one entry."""
+    """One entry with its store, endpoints, settings and collected log lines."""
 
     def __init__(self, group, bounds, operator_keys, held):
         self.group = group
@@ -220,7 +220,7 @@
 
     @staticmethod
     async def serve(handler):
-        """Serve connections by a handler; return the address."""
+        """Listen on loopback for a connection handler and return the address."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: CallerConnection(handler), "127.0.0.1", 0)
         return server.sockets[0].getsockname()[:2]
@@ -237,7 +237,7 @@
                 await anyio.sleep(0.02)
 
     async def known(self, count):
-        """Wait until the entry has read of this many endpoints."""
+        """Wait until the entry knows exactly this many endpoints."""
 
         async def check():
             return len(self.entry._state.registry) == count
@@ -245,7 +245,7 @@
         await self.until(check)
 
     async def evacuated(self):
-        """Return whether the entry has read of an evacuation."""
+        """Return whether the entry knows of an evacuated availability zone."""
         return bool(self.entry._state.evacuations.zones)
 
     async def connect(self):
@@ -260,7 +260,7 @@
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     async def ask(self, **fields):
-        """Send one request on a connection of its own; return status, head, body, whole."""
+        """Send one request on a new connection; return status, head, body and completeness."""
         return await self.send_to(self.host.callers, self.message(**fields))
 
     @staticmethod
@@ -274,7 +274,7 @@
 
 
 async def read_answer(reader):
-    """Return status, head, body, and whether the framing says that it is complete."""
+    """Return status, head, body, and whether the answer is complete by its framing."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -297,9 +297,9 @@
 
 @contextlib.asynccontextmanager
 async def open_world(*routes, bounds=None, start=True, operator_keys=None):
-    """Open a world with a configuration and, unless told otherwise, a ready entry.
+    """Open a world with a configuration and, unless `start` is false, a ready entry.
 
-    With operator keys given, also an empty text, the entry serves the metrics' address.
+    If operator keys are given, even an empty string, the entry also serves the metrics address.
     """
     with contextlib.ExitStack() as held:
         async with anyio.create_task_group() as group:
--- a/testing/test_entry_events.py
+++ b/testing/test_entry_events.py
@@ -6,42 +6,42 @@
 
 
 class TestLineWriter:
-    def test_reader_that_stops_reading_costs_lines_not_time(self):
-        """Whoever reads standard output stops reading; the pipe fills up.
+    def test_write_does_not_block_when_the_pipe_is_full(self):
+        """The reader of standard output stops reading, so the pipe fills up.
 
-        A blocking write would hold up every request of the process. Lines that fit neither in the
-        pipe nor in the bounded backlog are dropped and counted.
+        A blocking write would stall every request of the process. Lines that fit neither in the
+        pipe nor in the bounded backlog must be dropped and counted.
         """
-        reading, writing = os.pipe()
+        read_fd, write_fd = os.pipe()
         try:
-            writer = LineWriter(writing)
+            writer = LineWriter(write_fd)
             line = "x" * 1_000 + "\n"
-            begun_s = time.monotonic()
+            started_s = time.monotonic()
             for _ in range(1_000):
                 writer.write(line)
-            took_s = time.monotonic() - begun_s
-            read = os.read(reading, 5_000)
+            took_s = time.monotonic() - started_s
+            read = os.read(read_fd, 5_000)
         finally:
-            os.close(reading)
-            os.close(writing)
+            os.close(read_fd)
+            os.close(write_fd)
 
         assert took_s < 1.0
         assert 800 < writer.dropped < 1_000
         assert read.startswith(line.encode() * 4)
 
-    def test_reader_that_is_gone_costs_lines_only(self):
-        reading, writing = os.pipe()
-        os.close(reading)
-        writer = LineWriter(writing)
+    def test_write_to_a_closed_pipe_drops_the_line(self):
+        read_fd, write_fd = os.pipe()
+        os.close(read_fd)
+        writer = LineWriter(write_fd)
 
         writer.write("one\n")
-        os.close(writing)
+        os.close(write_fd)
 
         assert writer.dropped == 1
 
 
 class TestEvents:
-    def test_lines_a_second_are_bounded_and_what_is_left_out_is_said(self):
+    def test_line_rate_is_limited_and_left_out_lines_are_reported(self):
         lines = Lines()
         events = Events("entry-1", "a", lines)
 
--- a/testing/test_entry_metrics.py
+++ b/testing/test_entry_metrics.py
@@ -20,7 +20,7 @@
         assert 'beryl_first_byte_seconds_bucket{le="+Inf"} 4.0' in text
         assert 'beryl_answers_total{status="200"} 4.0' in text
 
-    def test_served_at_the_probes_address(self):
+    def test_metrics_are_served_at_the_probes_address(self):
         async def run():
             async with open_world(route()) as world:
                 await world.ask(path="/nowhere/")
@@ -35,12 +35,12 @@
         assert "beryl_settings_version 3.0" in text
         assert "beryl_ready 1.0" in text
 
-    def test_the_library_is_not_loaded_before_a_scrape(self):
+    def test_prometheus_client_is_not_imported_before_a_scrape(self):
         code = (
             "import sys, beryljunction.gateway.process as process; "
             "print('prometheus_client' in sys.modules, process.__name__)"
         )
 
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+        completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
 
-        assert done.stdout.split() == ["False", "beryljunction.gateway.process"]
+        assert completed.stdout.split() == ["False", "beryljunction.gateway.process"]
--- a/testing/test_gateway_callers.py
+++ b/testing/test_gateway_callers.py
@@ -6,8 +6,8 @@
 PREFIX = b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q1\r\nX-Credential: key\r\n"
 
 
-def exchange(data, more=b""):
-    """Return the answers to raw bytes, and what reached the endpoint."""
+def send_raw(data, more=b""):
+    """Send raw bytes; return the answers' status codes and the heads that reached the endpoint."""
 
     async def run():
         async with open_world(route()) as world:
@@ -26,11 +26,10 @@
 
 
 class TestSmuggling:
-    """A caller hides a request in another one, by a length that two parsers read differently.
+    """Request smuggling: a request whose length two parsers interpret differently.
 
-    An endpoint that took the hidden part for a request would run one that no caller is known to
-    have sent, past every check of its key. Whatever is ambiguous is answered 400, and nothing of
-    it is sent on.
+    An endpoint that parsed the hidden part as a request would run it without any check of its API
+    key. Ambiguous requests must be answered with 400, and no part of them forwarded.
     """
 
     @pytest.mark.parametrize(
@@ -64,16 +63,16 @@
             "upgrade",
         ],
     )
-    def test_ambiguous_request_reaches_nobody(self, lines):
-        statuses, sent = exchange(PREFIX + lines)
+    def test_ambiguous_request_is_rejected_and_not_forwarded(self, lines):
+        statuses, sent = send_raw(PREFIX + lines)
 
         assert statuses == [400]
         assert sent == []
 
-    def test_request_inside_a_body_stays_a_body(self):
+    def test_request_inside_a_body_is_not_parsed(self):
         inner = b"POST /pay/2 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q9\r\n\r\n"
 
-        statuses, sent = exchange(PREFIX + b"Content-Length: %d\r\n\r\n" % len(inner) + inner)
+        statuses, sent = send_raw(PREFIX + b"Content-Length: %d\r\n\r\n" % len(inner) + inner)
 
         assert statuses == [200]
         assert len(sent) == 1
@@ -81,39 +80,39 @@
 
 
 class TestLimits:
-    def test_headers_above_the_limit(self):
-        statuses, sent = exchange(PREFIX + b"X-Long: " + b"a" * 5_000 + b"\r\n\r\n")
+    def test_headers_above_the_limit_are_rejected(self):
+        statuses, sent = send_raw(PREFIX + b"X-Long: " + b"a" * 5_000 + b"\r\n\r\n")
 
         assert (statuses, sent) == ([431], [])
 
-    def test_declared_body_above_the_limit(self):
-        statuses, sent = exchange(PREFIX + b"Content-Length: 100001\r\n\r\n")
+    def test_content_length_above_the_limit_is_rejected(self):
+        statuses, sent = send_raw(PREFIX + b"Content-Length: 100001\r\n\r\n")
 
         assert (statuses, sent) == ([413], [])
 
-    def test_chunked_body_above_the_limit(self):
+    def test_chunked_body_above_the_limit_is_rejected(self):
         chunk = b"4000\r\n" + b"a" * 0x4000 + b"\r\n"
 
-        statuses, sent = exchange(PREFIX + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 8)
+        statuses, sent = send_raw(PREFIX + b"Transfer-Encoding: chunked\r\n\r\n" + chunk * 8)
 
         assert (statuses, sent) == ([413], [])
 
-    def test_headers_that_do_not_end_in_time(self):
-        statuses, sent = exchange(PREFIX)
+    def test_incomplete_headers_time_out(self):
+        statuses, sent = send_raw(PREFIX)
 
         assert (statuses, sent) == ([408], [])
 
 
 class TestConnections:
-    def test_requests_behind_each_other_are_answered_in_order(self):
+    def test_pipelined_requests_are_answered_in_order(self):
         one = PREFIX + b"Content-Length: 0\r\n\r\n"
 
-        statuses, sent = exchange(one + one.replace(b"q1", b"q2"), more=b" ")
+        statuses, sent = send_raw(one + one.replace(b"q1", b"q2"), more=b" ")
 
         assert statuses == [200, 200]
         assert ["q1" in sent[0], "q2" in sent[1]] == [True, True]
 
-    def test_caller_that_waits_for_a_go_ahead_gets_it(self):
+    def test_expect_100_continue_gets_an_interim_response(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -129,10 +128,10 @@
         assert interim.startswith(b"HTTP/1.1 100 ")
         assert status == 200
 
-    def test_connection_is_kept_for_longer_than_callers_use_it(self):
-        """Callers use a connection again that was idle for up to four fifths of the limit, 2.4 s.
+    def test_idle_connection_stays_open_while_callers_may_reuse_it(self):
+        """Callers reuse connections that were idle for up to four fifths of the timeout, 2.4 s.
 
-        One closed before would lose the request that crosses the close.
+        A connection closed earlier would lose a request that is sent at the same moment.
         """
 
         async def run():
@@ -151,7 +150,7 @@
 
         assert anyio.run(run) == [200, 200]
 
-    def test_caller_that_speaks_http_10_gets_a_closed_connection(self):
+    def test_http_10_connection_is_closed_after_the_answer(self):
         data = PREFIX.replace(b"HTTP/1.1", b"HTTP/1.0") + b"Content-Length: 0\r\n\r\n"
 
         async def run():
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -11,7 +11,7 @@
 
 
 class TestRequests:
-    def test_request_reaches_its_endpoint_unchanged_but_for_what_the_fleet_sets(self):
+    def test_request_is_forwarded_unchanged_except_for_fleet_headers(self):
         async def run():
             async with open_world(route("/a b/".replace(" ", "%20"))) as world:
                 one = await world.add_endpoint("e1")
@@ -37,9 +37,9 @@
         for name in ("x-hold", "x-pin-ms", "x-credential", "x-tenant: rich"):
             assert name not in sent.lower()
         left = int(re.search(r"x-deadline-ms: (\d+)", sent)[1])
-        assert 1_300 < left <= 1_500  # the route's time-out, not the caller's deadline
+        assert 1_300 < left <= 1_500  # the route's timeout, not the caller's deadline
 
-    def test_chunked_body_is_sent_whole(self):
+    def test_chunked_body_is_forwarded_complete(self):
         async def run():
             async with open_world(route()) as world:
                 one = await world.add_endpoint("e1")
@@ -53,7 +53,7 @@
         assert answer[0] == 200
         assert one.requests[0][1] == b"abcdefg"
 
-    def test_listing_a_header_in_connection_cannot_remove_the_request_s_identity(self):
+    def test_connection_header_cannot_remove_the_request_id(self):
         async def run():
             async with open_world(route()) as world:
                 one = await world.add_endpoint("e1")
@@ -76,7 +76,7 @@
         ],
         ids=["no-route", "two-keys", "two-hosts"],
     )
-    def test_improper_request_reaches_nobody(self, fields, expected):
+    def test_invalid_request_is_not_forwarded(self, fields, expected):
         async def run():
             async with open_world(route()) as world:
                 one = await world.add_endpoint("e1")
@@ -87,26 +87,26 @@
 
 
 class TestAtMostOnce:
-    def test_lost_answer_is_unknown_and_not_sent_again(self):
-        """A payment runs and its connection is reset before the answer.
+    def test_request_with_a_lost_answer_gets_502_and_is_not_retried(self):
+        """The connection is reset after the endpoint has run a payment, before the answer.
 
-        The caller gets 502, which promises nothing. A 503 would make it pay twice; so would a
-        second endpoint.
+        The caller must get 502, which leaves the outcome open. A 503 or a second attempt could make
+        the payment run twice.
         """
 
-        async def lose(answer, writer, number):
+        async def drop_connection(answer, writer, number):
             reset(writer)
 
         async def run():
             async with open_world(route(**{"max-attempts": 3})) as world:
-                one = await world.add_endpoint("e1", script=lose)
-                two = await world.add_endpoint("e2", script=lose)
+                one = await world.add_endpoint("e1", script=drop_connection)
+                two = await world.add_endpoint("e2", script=drop_connection)
                 await world.known(2)
                 return (await world.ask())[0], len(one.requests) + len(two.requests)
 
         assert anyio.run(run) == (502, 1)
 
-    def test_declined_request_is_refused_truthfully(self):
+    def test_declined_request_gets_503_with_retry_after(self):
         async def decline(answer, writer, number):
             writer.write(answer.declined())
 
@@ -121,7 +121,7 @@
         assert status == 503
         assert 0 < float(re.search(r"retry-after: (\S+)", head)[1]) <= 2.0 / 3
 
-    def test_idempotent_request_goes_to_another_endpoint(self):
+    def test_idempotent_request_is_retried_at_another_endpoint(self):
         async def fail_first(answer, writer, number):
             if len(answers) == 0:
                 answers.append(1)
@@ -142,10 +142,11 @@
 
         assert anyio.run(run)[0] == 200
 
-    def test_address_that_refuses_connections_costs_nothing(self):
-        """An endpoint is dead and its record has not lapsed yet.
+    def test_refused_connection_is_retried_at_another_endpoint(self):
+        """An endpoint has ended, but its record has not expired yet.
 
-        Nothing is sent to it, so even a request that may not be repeated goes elsewhere.
+        Nothing was sent on the refused connection, so that even a non-idempotent request must be
+        sent to another endpoint.
         """
 
         async def run():
@@ -171,19 +172,19 @@
         ],
         ids=["cut", "garbled", "other-request", "encoded"],
     )
-    def test_spoiled_answer_is_never_handed_on(self, data, repeat):
-        """An endpoint breaks off, sends rubbish, or answers another request.
+    def test_invalid_answer_is_not_relayed(self, data, repeat):
+        """An endpoint sends a truncated, invalid, encoded or mismatched answer.
 
-        The caller must not take that for its own answer: it gets 502.
+        The caller must get 502, so that it doesn't take the data for its answer.
         """
 
-        async def spoil(answer, writer, number):
+        async def send_invalid_answer(answer, writer, number):
             writer.write(data(answer))
 
         async def run():
             kind = "idempotent" if repeat else "non_idempotent"
             async with open_world(route(kind=kind)) as world:
-                await world.add_endpoint("e1", script=spoil)
+                await world.add_endpoint("e1", script=send_invalid_answer)
                 await world.known(1)
                 return await world.ask()
 
@@ -192,13 +193,13 @@
         assert status == 502
         assert "x-server-signature" not in head
 
-    def test_what_follows_an_answer_reaches_nobody(self):
-        async def twice(answer, writer, number):
+    def test_data_after_a_complete_answer_is_discarded(self):
+        async def answer_twice(answer, writer, number):
             writer.write(answer.whole(body=b"first") + answer.whole(body=b"second"))
 
         async def run():
             async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=twice)
+                await world.add_endpoint("e1", script=answer_twice)
                 await world.known(1)
                 reader, writer = await world.connect()
                 bodies = []
@@ -210,14 +211,14 @@
 
         assert anyio.run(run) == [b"first"] * 3
 
-    def test_answer_without_length_ends_with_its_connection(self):
-        async def unframed(answer, writer, number):
+    def test_answer_without_length_is_complete_when_its_connection_closes(self):
+        async def answer_without_length(answer, writer, number):
             data = answer.whole(body=b"body")
             writer.write(re.sub(rb"content-length: \d+\r\n", b"", data))
 
         async def run():
             async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=unframed)
+                await world.add_endpoint("e1", script=answer_without_length)
                 await world.known(1)
                 return await world.ask()
 
@@ -225,8 +226,8 @@
 
         assert (status, body, whole) == (200, b"body", True)
 
-    def test_answer_without_length_that_is_reset_is_not_whole(self):
-        async def unframed(answer, writer, number):
+    def test_answer_without_length_is_incomplete_after_a_reset(self):
+        async def answer_without_length(answer, writer, number):
             data = answer.whole(body=b"body")
             writer.write(re.sub(rb"content-length: \d+\r\n", b"", data))
             await writer.drain()
@@ -235,13 +236,13 @@
 
         async def run():
             async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=unframed)
+                await world.add_endpoint("e1", script=answer_without_length)
                 await world.known(1)
                 return (await world.ask())[0]
 
         assert anyio.run(run) == 502
 
-    def test_error_of_an_endpoint_is_handed_on_with_its_signature(self):
+    def test_error_answer_of_an_endpoint_is_relayed_with_its_signature(self):
         async def fail(answer, writer, number):
             writer.write(answer.whole("500 Internal Server Error", b"broken"))
 
@@ -256,18 +257,18 @@
         assert (status, body) == (500, b"broken")
         assert "x-server-signature: signed" in head
 
-    def test_endpoint_that_answers_before_the_body_is_through(self):
-        """An endpoint refuses a long body by its head, and would read the rest later.
+    def test_answer_before_the_whole_body_was_read(self):
+        """An endpoint answers after the headers and leaves a long body unread.
 
-        Were its connection used again, the next request would be taken for the rest of the body.
+        If its connection were reused, it would read the next request as the rest of the body.
         """
 
-        async def early(answer, writer, number):
+        async def answer_early(answer, writer, number):
             writer.write(answer.whole("413 Content Too Large", b"no"))
 
         async def run():
             async with open_world(route()) as world:
-                one = await world.add_endpoint("e1", script=early)
+                one = await world.add_endpoint("e1", script=answer_early)
                 await world.known(1)
                 first = await world.ask(body=b"x" * 90_000)
                 second = await world.ask(request_id="q2")
@@ -277,7 +278,7 @@
 
 
 class TestTime:
-    def test_route_s_time_out_gets_its_final_answer_at_once(self):
+    def test_request_gets_504_when_the_route_timeout_expires(self):
         async def hang(answer, writer, number):
             await asyncio.sleep(5)
 
@@ -285,9 +286,9 @@
             async with open_world(route(**{"timeout-ms": 400})) as world:
                 one = await world.add_endpoint("e1", script=hang)
                 await world.known(1)
-                begun_s = anyio.current_time()
+                started_s = anyio.current_time()
                 status = (await world.ask())[0]
-                took_s = anyio.current_time() - begun_s
+                took_s = anyio.current_time() - started_s
                 await anyio.sleep(0.1)
                 return status, took_s, len(one.ended)
 
@@ -297,10 +298,10 @@
         assert 0.35 < took_s < 0.6
         assert ended == 1
 
-    def test_caller_who_leaves_ends_the_work(self):
-        """A caller closes its connection while its endpoint works.
+    def test_caller_disconnect_aborts_the_endpoint_call(self):
+        """A caller closes its connection while the endpoint works on its request.
 
-        The endpoint's connection is reset at once; nothing is sent anywhere after that.
+        The endpoint's connection must be reset at once, and no further attempt may follow.
         """
 
         async def hang(answer, writer, number):
@@ -320,12 +321,12 @@
 
         assert anyio.run(run) == (1, 0)
 
-    def test_refused_at_once_when_there_is_no_endpoint(self):
+    def test_request_is_refused_at_once_without_endpoints(self):
         async def run():
             async with open_world(route()) as world:
-                begun_s = anyio.current_time()
+                started_s = anyio.current_time()
                 status, head, _, _ = await world.ask()
-                return status, anyio.current_time() - begun_s, head
+                return status, anyio.current_time() - started_s, head
 
         status, took_s, head = anyio.run(run)
 
@@ -339,8 +340,8 @@
 
 
 class TestStreams:
-    def test_events_are_handed_on_as_they_come(self):
-        async def slowly(answer, writer, number):
+    def test_events_are_relayed_as_they_arrive(self):
+        async def stream_slowly(answer, writer, number):
             writer.write(answer.stream_head())
             for position in (1, 2, 3):
                 writer.write(answer.chunk(event(position)))
@@ -349,7 +350,7 @@
 
         async def run():
             async with open_world(route("/s/", **STREAM)) as world:
-                await world.add_endpoint("e1", script=slowly)
+                await world.add_endpoint("e1", script=stream_slowly)
                 await world.known(1)
                 reader, writer = await world.connect()
                 writer.write(world.message("/s/"))
@@ -360,13 +361,13 @@
 
         assert anyio.run(run) > 0.15
 
-    def test_broken_stream_does_not_look_complete(self):
-        """An engine dies in the middle of an event of a stream that can't be taken up.
+    def test_interrupted_stream_does_not_look_complete(self):
+        """An engine fails in the middle of an event of a stream that can't be resumed.
 
-        The caller has whole events only, and a connection that ends without the stream's end.
+        The caller must get complete events only, and a connection that ends before the stream does.
         """
 
-        async def die(answer, writer, number):
+        async def reset_mid_event(answer, writer, number):
             writer.write(answer.stream_head() + answer.chunk(event(1) + event(2)[:9]))
             await writer.drain()
             await asyncio.sleep(0.05)
@@ -374,7 +375,7 @@
 
         async def run():
             async with open_world(route("/s/", **STREAM)) as world:
-                one = await world.add_endpoint("e1", script=die)
+                one = await world.add_endpoint("e1", script=reset_mid_event)
                 await world.known(1)
                 return await world.ask(path="/s/"), len(one.requests)
 
@@ -382,14 +383,14 @@
 
         assert (status, body, whole, sends) == (200, event(1), False, 1)
 
-    def test_stream_that_ends_inside_an_event_is_broken(self):
-        async def cut(answer, writer, number):
+    def test_stream_that_ends_within_an_event_is_incomplete(self):
+        async def end_mid_event(answer, writer, number):
             data = answer.chunk(event(1) + event(2)[:9]) + b"0\r\n\r\n"
             writer.write(answer.stream_head() + data)
 
         async def run():
             async with open_world(route("/s/", **STREAM)) as world:
-                await world.add_endpoint("e1", script=cut)
+                await world.add_endpoint("e1", script=end_mid_event)
                 await world.known(1)
                 return await world.ask(path="/s/")
 
@@ -397,13 +398,13 @@
 
         assert (body, whole) == (event(1), False)
 
-    def test_resumable_stream_is_taken_up_at_another_endpoint(self):
-        """An engine dies after two events; another one goes on after the second.
+    def test_resumable_stream_continues_at_another_endpoint(self):
+        """An engine fails after two events; another one continues after the second.
 
-        The caller sees one stream: each event once, one head, a complete end.
+        The caller must get a single complete stream: one head, and each event once.
         """
 
-        async def die_or_go_on(answer, writer, number):
+        async def reset_or_resume(answer, writer, number):
             writer.write(answer.stream_head())
             resumed = re.search(r"last-event-id: (\d+)", answer.head)
             if resumed is None:
@@ -420,7 +421,7 @@
             fields = {**STREAM, "resume-streams": True, "max-attempts": 2}
             async with open_world(route("/s/", **fields)) as world:
                 for name in ("e1", "e2"):
-                    await world.add_endpoint(name, script=die_or_go_on)
+                    await world.add_endpoint(name, script=reset_or_resume)
                 await world.known(2)
                 world.entry._state.share("plain")._slack = 5
                 return await world.ask(path="/s/")
@@ -442,7 +443,7 @@
         world.put("keyed.servers", name, endpoint.record(zone=zone))
         return endpoint
 
-    def test_requests_go_to_other_zones(self):
+    def test_requests_are_sent_to_other_zones(self):
         async def run():
             async with open_world(route()) as world:
                 one, two = await self.add(world, "e1", "a"), await self.add(world, "e2", "b")
@@ -453,7 +454,7 @@
 
         assert anyio.run(run) == ([200] * 6, 0, 6)
 
-    def test_request_is_refused_at_once_where_no_zone_is_left(self):
+    def test_request_is_refused_at_once_when_all_zones_are_evacuated(self):
         async def run():
             async with open_world(route()) as world:
                 one = await self.add(world, "e1", "a")
@@ -468,7 +469,7 @@
         assert (status, body, requests) == (503, b"zones_evacuated\n", [])
         assert "retry-after" in head
 
-    def test_request_that_runs_is_left_alone(self):
+    def test_evacuation_does_not_interrupt_a_running_request(self):
         async def slow(answer, writer, number):
             await asyncio.sleep(0.5)
             writer.write(answer.whole())
@@ -493,10 +494,10 @@
 
 
 class TestColdEndpoints:
-    """An endpoint that has just started gets its share, and a warm one the rest."""
+    """A cold endpoint gets a limited rate of requests; warm endpoints get the rest."""
 
     BOUNDS = HostBounds(cold_overshoot=1.0, cold_slack=0.0)
-    # Four requests a second, of which three are shared out among the entries.
+    # A cold endpoint takes four requests a second, of which three are divided among the entries.
     SERVICES = ({"name": "plain", "cold-start-s": 3, "cold-per-s": 4},)
 
     async def ask_many(self, world, count):
@@ -504,7 +505,7 @@
         await anyio.sleep(1.1)
         return [(await world.ask(request_id=f"q{n}"))[0] for n in range(count)]
 
-    def test_the_rest_goes_to_a_warm_one(self):
+    def test_requests_above_the_cold_rate_go_to_a_warm_endpoint(self):
         async def run():
             async with open_world(bounds=self.BOUNDS, start=False) as world:
                 world.configure(route(), services=list(self.SERVICES))
@@ -521,7 +522,7 @@
         assert 0 < cold <= 3
         assert cold + warm == 16
 
-    def test_what_no_endpoint_bears_is_refused_as_not_run(self):
+    def test_requests_above_the_cold_rate_are_refused_without_a_warm_endpoint(self):
         async def run():
             async with open_world(bounds=self.BOUNDS, start=False) as world:
                 world.configure(route(), services=list(self.SERVICES))
--- a/testing/test_gateway_operators.py
+++ b/testing/test_gateway_operators.py
@@ -13,17 +13,17 @@
 DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
 
 
-class TestDigests:
+class TestOperatorDigests:
     @pytest.mark.parametrize("text", ["", "x", DIGEST.upper(), f"{DIGEST} "])
-    def test_what_is_no_digest_is_left_out(self, text):
+    def test_invalid_digest_is_ignored(self, text):
         assert operator_digests(text) == ()
 
-    def test_several_may_be_in_force(self):
+    def test_several_digests_are_accepted(self):
         assert operator_digests(f"{DIGEST},{'0' * 64}") == (DIGEST, "0" * 64)
 
 
 class TestOperatorHandler:
-    async def asked(self, world, path, key):
+    async def send_get(self, world, path, key):
         data = f"GET {path} HTTP/1.1\r\nAuthorization: Bearer {key}\r\n\r\n".encode()
         answer = await world.send_to(world.host.metrics, data)
         return answer[0], answer[2]
@@ -35,16 +35,16 @@
                 await world.ask(path="/nowhere/", request_id="other")
                 events = "/beryl/v1/events?request_id=mine"
                 return (
-                    await self.asked(world, "/beryl/v1/status", KEY),
-                    await self.asked(world, events, KEY),
-                    await self.asked(world, events, "wrong"),
-                    await self.asked(world, "/metrics", "wrong"),
+                    await self.send_get(world, "/beryl/v1/status", KEY),
+                    await self.send_get(world, events, KEY),
+                    await self.send_get(world, events, "wrong"),
+                    await self.send_get(world, "/metrics", "wrong"),
                 )
 
-        told, events, wrong, metrics = anyio.run(run)
-        values = json.loads(told[1])
+        status_answer, events, wrong, metrics = anyio.run(run)
+        values = json.loads(status_answer[1])
 
-        assert (told[0], events[0], wrong[0], metrics[0]) == (200, 200, 401, 200)
+        assert (status_answer[0], events[0], wrong[0], metrics[0]) == (200, 200, 401, 200)
         assert (values["settings_version"], values["not_ready"]) == (3, "")
         assert 0 <= values["settings_age_s"] < 3
         assert 0 <= values["endpoints_age_s"] < 3
@@ -52,33 +52,33 @@
         assert {row[5] for row in json.loads(events[1])["events"]} == {"mine"}
         assert wrong[1] == b""
 
-    def test_status_names_evacuated_zones(self):
+    def test_status_lists_evacuated_zones(self):
         async def run():
             async with open_world(route(), operator_keys=DIGEST) as world:
                 world.put("keyed.op", "evacuate/north", b"{}")
                 await world.until(world.evacuated)
                 return (
-                    await self.asked(world, "/beryl/v1/status", KEY),
-                    await self.asked(world, "/metrics", KEY),
+                    await self.send_get(world, "/beryl/v1/status", KEY),
+                    await self.send_get(world, "/metrics", KEY),
                 )
 
-        told, metrics = anyio.run(run)
+        status_answer, metrics = anyio.run(run)
 
-        assert json.loads(told[1])["evacuated"] == "north (0 s)"
+        assert json.loads(status_answer[1])["evacuated"] == "north (0 s)"
         assert b"beryl_zones_evacuated 1.0" in metrics[1]
         assert b"beryl_endpoints_cold 0.0" in metrics[1]
 
-    def test_without_keys_in_the_settings_nobody_may_ask(self):
+    def test_status_is_refused_without_configured_keys(self):
         async def run():
             async with open_world(route(), operator_keys="") as world:
-                return await self.asked(world, "/beryl/v1/status", KEY)
+                return await self.send_get(world, "/beryl/v1/status", KEY)
 
         assert anyio.run(run)[0] == 401
 
 
 class TestCommands:
-    def test_entries_are_asked_by_their_addresses(self, capsys, tmp_path):
-        """`beryl status` and `beryl timeline` reach entries on the platform, which have no list."""
+    def test_status_and_timeline_query_entries_by_address(self, capsys, tmp_path):
+        """Entries on the platform are in no list, so that the commands need their addresses."""
         config = tmp_path / "beryl.toml"
 
         async def run():
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -20,7 +20,7 @@
 
 
 class TestReadiness:
-    def test_not_ready_before_settings_were_read(self):
+    def test_not_ready_before_settings_are_read(self):
         async def run():
             async with open_world(start=False) as world:
                 with anyio.move_on_after(1.0) as scope:
@@ -29,10 +29,11 @@
 
         assert anyio.run(run)
 
-    def test_ready_again_after_an_outage_at_the_start(self):
-        """All hosts start while the store is away.
+    def test_ready_after_a_store_outage_at_startup(self):
+        """All hosts start while the store is unavailable.
 
-        A process that said it was ready would refuse every caller; it says so when it can serve.
+        A process that reported ready then would refuse every caller. It must report ready only when
+        it can serve requests.
         """
 
         async def run():
@@ -50,11 +51,12 @@
 
 
 class TestStop:
-    def test_request_in_flight_and_new_ones_are_served_until_the_balancer_knows(self):
-        """The platform asks a process to stop while a caller waits for its answer.
+    def test_requests_are_served_until_the_load_balancer_removes_the_entry(self):
+        """The platform stops a process while a caller waits for its answer.
 
-        The process is not ready from then on, but the balancer takes two misses to see that. Who
-        comes meanwhile is served, and its connection is closed after its answer.
+        The process reports not ready at once, but the load balancer removes it only after two
+        failed probes. Requests that arrive until then must be served, and their connections closed
+        after the answer.
         """
 
         async def run():
@@ -78,7 +80,7 @@
         assert "connection: close" in under_way[1]
         assert "connection: close" in late[1]
 
-    def test_stream_ends_whole_within_the_grace_period(self):
+    def test_stream_completes_within_the_grace_period(self):
         async def trickle(answer, writer, number):
             writer.write(answer.stream_head())
             for position in range(1, 9):
@@ -107,7 +109,7 @@
         assert whole
         assert body.count(b"data:") == 8
 
-    def test_idle_connection_is_closed_between_requests_and_the_process_ends(self):
+    def test_idle_connection_is_closed_and_the_process_exits(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -123,11 +125,11 @@
 
         assert anyio.run(run)
 
-    def test_stops_in_a_row_and_a_change_of_settings_cut_nothing(self):
-        """The platform asks three times to stop while the settings change and a caller waits.
+    def test_repeated_stops_and_a_settings_change_interrupt_no_request(self):
+        """The platform sends three stop signals while the settings change and a request runs.
 
-        The caller has its answer by the settings under which it was sent; a caller that comes after
-        the change is served by the new ones; the second and third stop change nothing.
+        The running request must complete under the settings that it was sent with, and a later
+        request must be served under the new ones. The second and third signal have no effect.
         """
 
         async def run():
@@ -148,10 +150,11 @@
 
         assert anyio.run(run) == (200, 200, 404)
 
-    def test_stop_is_over_before_the_kill(self):
-        """A caller's request outlasts the grace period of 2 s.
+    def test_process_exits_before_the_grace_period_ends(self):
+        """A request runs longer than the grace period of 3.4 s.
 
-        The process ends a little before it would be killed, so that it can say what it cut.
+        The process must exit shortly before it would be killed, so that it can log the number of
+        requests that it cut off.
         """
 
         async def hang(answer, writer, number):
@@ -165,10 +168,10 @@
                 _, writer = await world.connect()
                 writer.write(world.message(headers=()).replace(b": 2000", b": 20000"))
                 await anyio.sleep(0.1)
-                begun_s = anyio.current_time()
+                started_s = anyio.current_time()
                 world.entry.stop()
                 await world.until(lambda: _stopped(world), 6.0)
-                return anyio.current_time() - begun_s, world.lines.of("cut")
+                return anyio.current_time() - started_s, world.lines.of("cut")
 
         took_s, cut = anyio.run(run)
 
@@ -181,12 +184,10 @@
 
 
 class TestReload:
-    def test_bounds_of_a_changed_file_are_in_force_and_a_bad_file_changes_nothing(
-        self, tmp_path, monkeypatch
-    ):
-        """The platform writes the file anew, once well and once not.
+    def test_reload_applies_changed_bounds_and_ignores_an_invalid_file(self, tmp_path, monkeypatch):
+        """The platform replaces the settings file with a valid and then an invalid one.
 
-        A process that took a bad file for empty bounds would honour keys for longer than allowed.
+        A process that read an invalid file as empty bounds would accept revoked keys for too long.
         """
         path = tmp_path / "node.toml"
         monkeypatch.setenv("BERYLJUNCTION_CONFIG", str(path))
@@ -222,18 +223,18 @@
 
 
 class TestRestart:
-    def test_another_start_serves_within_a_second(self):
-        """An entry is killed; its next start knows nothing and reads all it needs."""
+    def test_restarted_entry_serves_within_a_second(self):
+        """An entry is killed and starts again without any saved state."""
 
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
                 await world.known(1)
-                begun_s = anyio.current_time()
+                started_s = anyio.current_time()
                 await world.start_entry()
                 await world.known(1)
                 status = (await world.ask())[0]
-                return status, anyio.current_time() - begun_s
+                return status, anyio.current_time() - started_s
 
         status, took_s = anyio.run(run)
 
@@ -242,11 +243,11 @@
 
 
 class TestStart:
-    def test_caller_who_came_before_the_process_was_loaded_is_served(self):
-        """All hosts lose power, and a caller tries again while the processes are starting.
+    def test_connection_made_before_the_process_was_loaded_is_served(self):
+        """After a power loss of all hosts, a caller retries while the processes are starting.
 
-        Refused, it would spend its one retry at a host in the same state. Its connection waits on
-        the socket that was opened first, and is taken once the settings and endpoints are known.
+        If it were refused, it would spend its only retry on a host in the same state. Its
+        connection must wait on the early socket until settings and endpoints are known.
         """
 
         async def run():
@@ -260,10 +261,10 @@
 
         assert anyio.run(run) == 200
 
-    def test_caller_is_told_to_come_back_when_the_store_is_away_at_the_start(self):
-        """A process starts while the store is away.
+    def test_caller_gets_retry_after_when_the_store_is_unavailable_at_startup(self):
+        """A process starts while the store is unavailable.
 
-        Its callers hear so soon, and don't wait for their deadline.
+        Its callers must get 503 with Retry-After soon, not only at their deadline.
         """
 
         async def run():
@@ -291,7 +292,7 @@
 
         assert anyio.run(run) == -1
 
-    def test_address_in_use_is_a_clear_error(self):
+    def test_address_in_use_raises_start_error(self):
         async def run():
             async with open_world(route()) as world:
                 second = EntryProcess(world.host, Events("entry-2", "a", world.lines))
@@ -300,9 +301,9 @@
         with pytest.raises(BaseException) as caught:  # noqa: PT011 - inside exception groups
             anyio.run(run)
 
-        assert "expected a free address" in _texts(caught.value)
+        assert "expected a free address" in _all_messages(caught.value)
 
 
-def _texts(error):
+def _all_messages(error):
     inner = getattr(error, "exceptions", ())
-    return str(error) + "".join(_texts(one) for one in inner)
+    return str(error) + "".join(_all_messages(one) for one in inner)
--- a/testing/test_gateway_sockets.py
+++ b/testing/test_gateway_sockets.py
@@ -7,11 +7,10 @@
 
 
 class TestTimeouts:
-    def test_connections_to_callers_and_endpoints_have_them(self, monkeypatch):
-        """A caller or an endpoint is cut off without a word.
+    def test_caller_and_endpoint_connections_have_tcp_timeouts(self, monkeypatch):
+        """A caller or an endpoint loses its network without closing its connection.
 
-        Neither end of its connection hears anything. Only the time-outs of the sockets show it, so
-        each connection of both kinds must have them.
+        Only the TCP timeouts detect that, so that connections of both kinds must have them.
         """
         seen = []
 
