--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -105,7 +105,7 @@
         return self._deadline_s - boot_time_s()
 
     def _shared_parts(self) -> PromptParts:
-        """Return the prompt parts shared with other requests: all but the last one, if several."""
+        """Return the prompt parts that other requests may share: not the last, unless it is alone."""
         ids, tokens = self._needs.prompt_parts, self._needs.prompt_tokens
         if len(ids) > 1:
             return PromptParts(ids[:-1], tokens[:-1], tokens[-1])
@@ -113,7 +113,7 @@
 
     async def _try_endpoints(self, plan: AttemptPlan) -> None:
         """Try endpoints in turn until one answers or no further attempt is allowed."""
-        while not self._refuse_if_quarantined(plan):
+        while not self._end_if_quarantined(plan):
             endpoint = self._state.choose(self._service, self._demand, self._tried)
             if endpoint is None or self._remaining_s() < _MIN_REMAINING_S:
                 reason = self._state.why_none(self._service) if endpoint is None else "no_time"
@@ -137,8 +137,8 @@
                 self._give_up(verdict, end.outcome.value)
                 return
 
-    def _refuse_if_quarantined(self, plan: AttemptPlan) -> bool:
-        """Refuse the request if it is quarantined for crashing endpoints; return whether it was."""
+    def _end_if_quarantined(self, plan: AttemptPlan) -> bool:
+        """End the request if it is quarantined for crashing endpoints; return whether it is."""
         if self._state.quarantine.left_s(self._log.digest) <= 0.0:
             return False
         self._give_up(plan.give_up(), _QUARANTINED)
@@ -172,7 +172,7 @@
         if isinstance(admitted, Denial):
             self._give_up(plan.give_up(), admitted.reason.value, admitted)
             return AttemptEnd()
-        if self._refuse_if_quarantined(plan):
+        if self._end_if_quarantined(plan):
             return AttemptEnd()
         if not plan.before_send(boot_time_s()):
             self._give_up(plan.give_up(), "retry_budget")
