--- a/src/beryljunction/platform/__init__.py
+++ b/src/beryljunction/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: its words are decoded here, once, into the project's types."""
+"""Adapter to the users' platform: decodes its formats and names into the project's types."""
 
 from beryljunction.platform.hostfile import (
     SETTINGS_VARIABLE,
--- a/src/beryljunction/platform/deployfile.py
+++ b/src/beryljunction/platform/deployfile.py
@@ -1,4 +1,4 @@
-"""Checks the deploy file: how the platform builds the fleet's programs, and where each runs."""
+"""Validates the deploy file: how the platform builds the programs, and which hosts run them."""
 
 import pathlib
 import tomllib
@@ -13,21 +13,21 @@
 
 __all__ = ["DeployedRole", "read_deploy_file"]
 
-# What a role may say; a misspelt name would be passed over, and the role run without it.
+# Fields of a role. The platform ignores unknown names, so a misspelt field would have no effect.
 _ROLE_FIELDS = frozenset(
     ("run", "on", "share", "count", "apart", "serves", "metrics", "template", "env")
 )
 _FILE_FIELDS = frozenset(("build", "packages", "roles"))
-_SERVED = frozenset(("front", "side", "control"))
-# The platform runs two processes on a host at most, and nothing serves the same callers twice.
-_MOST_ROLES_PER_CLASS = 2
-_REFUSED_PREFIXES = ("LD_", "JAVA", "NODE_", "PYTHON")
-_REFUSED_NAMES = frozenset(("PATH", "HOME"))
+_INTERFACES = frozenset(("front", "side", "control"))
+# The platform runs at most two processes on a host, and only one may serve an interface.
+_MAX_ROLES_PER_CLASS = 2
+_FORBIDDEN_ENV_PREFIXES = ("LD_", "JAVA", "NODE_", "PYTHON")
+_FORBIDDEN_ENV_NAMES = frozenset(("PATH", "HOME"))
 
 
 @attrs.frozen
 class DeployedRole:
-    """A program, and the class of hosts that runs it."""
+    """A program and the class of hosts that run it."""
 
     name: str
     command: tuple[str, ...]
@@ -37,10 +37,10 @@
 
 
 def read_deploy_file(path: pathlib.Path) -> tuple[DeployedRole, ...]:
-    """Read the deploy file.
+    """Read and validate the deploy file.
 
     Raises:
-        SettingsError: With one line for each problem: place, what was expected, what was got.
+        SettingsError: With one line per problem: location, expected value and actual value.
     """
     try:
         table = tomllib.loads(path.read_text())
@@ -64,60 +64,69 @@
 
 
 def _problems(table: dict[str, Any]) -> Iterator[str]:
-    yield from _unknown(table, _FILE_FIELDS, "")
-    yield from _texts(table, ("build",), "")
+    yield from _unknown_field_problems(table, _FILE_FIELDS, "")
+    yield from _string_problems(table, ("build",), "")
     roles = table.get("roles")
     if not isinstance(roles, dict) or not roles:
-        yield f"roles: expected one table a role, got {roles!r}"
+        yield f"roles: expected one table per role, got {roles!r}"
         return
     for name, role in roles.items():
         if isinstance(role, dict):
-            yield from _of_role(role, f"roles.{name}.")
+            yield from _role_problems(role, f"roles.{name}.")
         else:
             yield f"roles.{name}: expected a table, got {role!r}"
-    yield from _of_classes({name: role for name, role in roles.items() if isinstance(role, dict)})
+    yield from _host_class_problems(
+        {name: role for name, role in roles.items() if isinstance(role, dict)}
+    )
 
 
-def _of_role(role: dict[str, Any], place: str) -> Iterator[str]:
-    yield from _unknown(role, _ROLE_FIELDS, place)
-    yield from _texts(role, ("run", "on"), place)
+def _role_problems(role: dict[str, Any], prefix: str) -> Iterator[str]:
+    yield from _unknown_field_problems(role, _ROLE_FIELDS, prefix)
+    yield from _string_problems(role, ("run", "on"), prefix)
     share, count = role.get("share"), role.get("count")
     if share is not None and count is not None:
-        yield f"{place}count: expected a share or a count, got both"
+        yield f"{prefix}count: expected either share or count, got both"
     if share is not None and not (_is_number(share) and 0 < share <= 1):
-        yield f"{place}share: expected a number above 0, at most 1, got {share!r}"
+        yield f"{prefix}share: expected a number above 0 and at most 1, got {share!r}"
     if count is not None and not (type(count) is int and count > 0):
-        yield f"{place}count: expected a whole number above 0, got {count!r}"
+        yield f"{prefix}count: expected a whole number above 0, got {count!r}"
     serves = role.get("serves", [])
-    if not isinstance(serves, list) or not _SERVED.issuperset(map(str, serves)):
-        yield f"{place}serves: expected some of {sorted(_SERVED)}, got {serves!r}"
-    yield from _of_metrics(role.get("metrics"), place)
-    yield from _of_env(role.get("env", {}), place)
+    if not isinstance(serves, list) or not _INTERFACES.issuperset(map(str, serves)):
+        yield f"{prefix}serves: expected a list from {sorted(_INTERFACES)}, got {serves!r}"
+    yield from _metrics_problems(role.get("metrics"), prefix)
+    yield from _env_problems(role.get("env", {}), prefix)
 
 
-def _of_metrics(metrics: Any, place: str) -> Iterator[str]:
+def _metrics_problems(metrics: Any, prefix: str) -> Iterator[str]:
     if metrics is None:
         return
     port = str(metrics).partition("/")[0]
     if not (port.isdecimal() and 0 < int(port) < 65_536):
-        yield f"{place}metrics: expected PORT/PATH, got {metrics!r}"
+        yield f"{prefix}metrics: expected PORT/PATH, got {metrics!r}"
 
 
-def _of_env(env: Any, place: str) -> Iterator[str]:
+def _env_problems(env: Any, prefix: str) -> Iterator[str]:
     if not isinstance(env, dict):
-        yield f"{place}env: expected a table of texts, got {env!r}"
+        yield f"{prefix}env: expected a table of strings, got {env!r}"
         return
     for name, value in env.items():
-        is_name = name.replace("_", "").isalnum() and name == name.upper()
-        if not is_name or name in _REFUSED_NAMES or name.startswith(_REFUSED_PREFIXES):
-            yield f"{place}env.{name}: expected capitals, digits and _, and no name of a runtime"
+        is_valid_name = name.replace("_", "").isalnum() and name == name.upper()
+        if (
+            not is_valid_name
+            or name in _FORBIDDEN_ENV_NAMES
+            or name.startswith(_FORBIDDEN_ENV_PREFIXES)
+        ):
+            yield (
+                f"{prefix}env.{name}: expected capital letters, digits and _, and no variable "
+                "that is reserved for a language runtime"
+            )
         if not isinstance(value, str):
-            yield f"{place}env.{name}: expected a text, got {value!r}"
+            yield f"{prefix}env.{name}: expected a string, got {value!r}"
         elif name == MECHANISMS_VARIABLE:
-            yield from (f"{place}env.{name}: {problem}" for problem in _of_mechanisms(value))
+            yield from (f"{prefix}env.{name}: {problem}" for problem in _mechanisms_problems(value))
 
 
-def _of_mechanisms(text: str) -> list[str]:
+def _mechanisms_problems(text: str) -> list[str]:
     try:
         Mechanisms.parse(text)
     except SettingsError as error:
@@ -125,30 +134,32 @@
     return []
 
 
-def _of_classes(roles: dict[str, dict[str, Any]]) -> Iterator[str]:
-    by_class: dict[Any, list[str]] = {}
+def _host_class_problems(roles: dict[str, dict[str, Any]]) -> Iterator[str]:
+    roles_by_class: dict[Any, list[str]] = {}
     for name, role in roles.items():
-        by_class.setdefault(role.get("on"), []).append(name)
-    for host_class, names in by_class.items():
-        if len(names) > _MOST_ROLES_PER_CLASS:
-            yield f"roles: expected {_MOST_ROLES_PER_CLASS} on {host_class} at most, got {names}"
-        for served in sorted(_SERVED):
-            serving = [name for name in names if served in roles[name].get("serves", ())]
+        roles_by_class.setdefault(role.get("on"), []).append(name)
+    for host_class, names in roles_by_class.items():
+        if len(names) > _MAX_ROLES_PER_CLASS:
+            yield f"roles: expected at most {_MAX_ROLES_PER_CLASS} on {host_class}, got {names}"
+        for interface in sorted(_INTERFACES):
+            serving = [name for name in names if interface in roles[name].get("serves", ())]
             if len(serving) > 1:
-                yield f"roles: expected one on {host_class} that serves {served}, got {serving}"
+                yield f"roles: expected one role on {host_class} that serves {interface}, got {serving}"
 
 
-def _unknown(table: dict[str, Any], known: frozenset[str], place: str) -> Iterator[str]:
+def _unknown_field_problems(
+    table: dict[str, Any], known: frozenset[str], prefix: str
+) -> Iterator[str]:
     for name in table:
         if name not in known:
-            yield f"{place}{name}: expected one of {sorted(known)}, got an unknown field"
+            yield f"{prefix}{name}: expected one of {sorted(known)}, got an unknown field"
 
 
-def _texts(table: dict[str, Any], names: tuple[str, ...], place: str) -> Iterator[str]:
+def _string_problems(table: dict[str, Any], names: tuple[str, ...], prefix: str) -> Iterator[str]:
     for name in names:
         value = table.get(name)
         if not isinstance(value, str) or not value.strip():
-            yield f"{place}{name}: expected a text, got {value!r}"
+            yield f"{prefix}{name}: expected a non-empty string, got {value!r}"
 
 
 def _is_number(value: Any) -> bool:
--- a/src/beryljunction/platform/headers.py
+++ b/src/beryljunction/platform/headers.py
@@ -1,6 +1,6 @@
-"""Names of HTTP headers that the platform's callers and endpoints use, and what each holds.
+"""Names of the HTTP headers that the platform's callers and endpoints use.
 
-All names are in lower case, as the parsers hand them out.
+All names are in lower case, as the HTTP parsers return them.
 """
 
 __all__ = [
@@ -23,31 +23,31 @@
 ]
 
 REQUEST_ID = b"x-request-id"
-# Milliseconds that the sender will wait, counted from the sending; no point in time.
+# Milliseconds that the sender will wait, counted from when it sent the request; not a timestamp.
 DEADLINE_LEFT_MS = b"x-deadline-ms"
 API_KEY = b"x-credential"
-# Name of the client account, set here from the API key.
+# Name of the client account, which the entry sets from the API key.
 TENANT = b"x-tenant"
-# Endpoint id that must answer; any other endpoint at the address refuses with 421.
+# Id of the endpoint that must respond; another endpoint at the same address responds with 421.
 EXPECTED_ENDPOINT = b"x-expect-instance"
-# IP:PORT of an endpoint to fetch cached parts of the prompt from, before the rest is read.
+# IP:PORT of an endpoint from which to fetch the cached part of the prompt before prefill.
 FETCH_FROM = b"kv-fetch"
 # Prompt parts in order, "ID:TOKENS,...".
 PROMPT_PARTS = b"x-prompt-prefix"
-# "PROMPT,OUTPUT" tokens; the second is the most that the answer may have.
+# "PROMPT,OUTPUT" token counts; OUTPUT is the maximum for the response.
 TOKEN_COUNTS = b"x-token-counts"
 LAST_EVENT = b"last-event-id"
 URGENCY = b"x-request-urgency"
-# Set on an answer of an endpoint that did not run the request.
+# Set on the response of an endpoint that did not run the request.
 NOT_RUN = b"x-not-executed"
-# "RUNNING,WAITING,SLOTS" of the endpoint that answers.
+# "RUNNING,WAITING,SLOTS" of the endpoint that responds.
 LOAD = b"x-server-load"
-# "1" on all answers of an endpoint that leaves; its record in the store may say so later.
+# "1" on every response of an endpoint that is draining; its record in the store may change later.
 LEAVING = b"server-leaving"
-# In seconds. From an endpoint that declines: how long it wants nothing from this host.
+# In seconds. From an endpoint that rejects a request: how long this host should send it nothing.
 RETRY_AFTER_S = b"retry-after"
 
-# What the fleet sets itself or keeps from endpoints; dropped from callers' requests.
+# Removed from callers' requests: the entry sets these itself or withholds them from endpoints.
 CALLER_MAY_NOT_SET = frozenset(
     (
         DEADLINE_LEFT_MS,
@@ -64,5 +64,5 @@
     )
 )
 
-# What an endpoint tells its router; callers don't get it.
+# Removed from endpoints' responses: information for the entry only.
 ENDPOINT_ONLY = frozenset((LOAD, LEAVING, b"x-instance-id"))
--- a/src/beryljunction/platform/hostfile.py
+++ b/src/beryljunction/platform/hostfile.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import os
 import pathlib
@@ -22,11 +22,11 @@
 ]
 
 SETTINGS_VARIABLE = "BERYLJUNCTION_CONFIG"
-# The platform's file names no address for metrics; the deploy file sets the port of its own.
+# The platform's file has no address for metrics, so the deploy file sets the port.
 METRICS_PORT_VARIABLE = "BERYL_METRICS_PORT"
-# SHA-256 digests of the operators' keys, with commas between them.
+# SHA-256 digests of the operators' keys, separated by commas.
 OPERATOR_KEYS_VARIABLE = "BERYL_OPERATOR_KEYS_SHA256"
-# Switches of the routing decisions, as in "fetch=off,stall=off"; all others are on.
+# Routing mechanisms to switch off, as in "fetch=off,stall=off"; all others are on.
 MECHANISMS_VARIABLE = "BERYL_MECHANISMS"
 ADDRESS_FORM = "IP:PORT"
 
@@ -35,20 +35,20 @@
 
 @attrs.frozen
 class HostBounds:
-    """Promises of the deployment, with the defaults of its smallest site where a file lacks one.
+    """Limits that the deployment guarantees; the defaults are those of the smallest site.
 
     Attributes:
-        revocation_ms: Longest time that an API key may be honoured after it was taken away.
-        apply_ms: Time after which settings are in force on every host.
-        evacuation_ms: Time after which endpoints of an evacuated zone get nothing more.
-        drain_ms: Time after which an endpoint that leaves gets nothing more.
-        grace_s: Time between the request to stop and the kill.
-        repeat_ratio: Second sends that the fleet may make for each request.
-        repeat_window_s: Sliding time of that ratio.
-        repeat_slack: Second sends of the whole fleet on top of the ratio.
-        cold_overshoot: Multiple of its own rate that an endpoint may get while it warms up.
-        cold_slack: Requests a second on top of that.
-        heartbeat_ms: Time between two writes of an endpoint's record; three missed ones expire it.
+        revocation_ms: Longest time for which a revoked API key may still be accepted.
+        apply_ms: Time within which new settings are in force on every host.
+        evacuation_ms: Time after which endpoints of an evacuated zone get no more requests.
+        drain_ms: Time after which a draining endpoint gets no more requests.
+        grace_s: Time between SIGTERM and SIGKILL.
+        repeat_ratio: Retries that the fleet may send per request.
+        repeat_window_s: Length of the sliding window for that ratio.
+        repeat_slack: Retries that the whole fleet may send in addition to the ratio.
+        cold_overshoot: Multiple of its request rate that an endpoint may get while it warms up.
+        cold_slack: Requests per second in addition to that.
+        heartbeat_ms: Interval at which an endpoint writes its record; it expires after three.
     """
 
     revocation_ms: int = 5_000
@@ -66,15 +66,15 @@
 
 @attrs.frozen
 class HostSettings:
-    """What a process learns from the platform when it starts.
+    """Settings that a process reads from the platform when it starts.
 
     Attributes:
-        callers: Where callers are taken.
-        probes: Where the balancer asks whether the process is ready.
-        metrics: Where metrics are served besides the probes' address; None for nowhere.
-        peers: Where other entries may ask this one; None for nowhere.
-        mechanisms: Switches of the routing decisions, from the deploy file.
-        operator_keys: Digests of the keys that operators may show at the metrics' address.
+        callers: Address that accepts callers' requests.
+        probes: Address of the load balancer's readiness probe.
+        metrics: Address that serves metrics in addition to the probe address; None for no address.
+        peers: Address that accepts requests of other entries; None for no address.
+        mechanisms: Routing mechanisms that are on or off, from the deploy file.
+        operator_keys: Digests of the operator keys that the metrics address accepts.
     """
 
     host: str
@@ -94,11 +94,13 @@
     """Read the settings file.
 
     Raises:
-        SettingsError: With one line for each field that is missing or wrong.
+        SettingsError: With one line for each field that is missing or invalid.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsError([f"{SETTINGS_VARIABLE}: expected the path of a file, got nothing"])
+        raise SettingsError(
+            [f"{SETTINGS_VARIABLE}: expected the path of the settings file, got no value"]
+        )
     file = pathlib.Path(path)
     try:
         table = tomllib.loads(file.read_text())
@@ -106,15 +108,15 @@
         raise SettingsError([f"{file}: expected a readable file, got {error.strerror}"]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError([f"{file}: expected TOML, got {error}"]) from error
-    reading = _Reading(table, str(file))
-    settings = reading.settings()
-    if reading.problems:
-        raise SettingsError(reading.problems)
+    parser = _SettingsParser(table, str(file))
+    settings = parser.settings()
+    if parser.problems:
+        raise SettingsError(parser.problems)
     return settings
 
 
-class _Reading:
-    """Reads fields and collects what is wrong with them; unknown fields are left alone."""
+class _SettingsParser:
+    """Parses the fields and collects all problems; unknown fields are ignored."""
 
     def __init__(self, table: dict[str, Any], file: str) -> None:
         self._table = table
@@ -122,11 +124,11 @@
         self.problems: list[str] = []
 
     def settings(self) -> HostSettings:
-        """Return the settings; only usable when there are no problems."""
+        """Return the settings; they are valid only if `problems` is empty."""
         return HostSettings(
-            host=self._text("node-name"),
-            availability_zone=self._text("zone"),
-            region=self._text("region"),
+            host=self._string("node-name"),
+            availability_zone=self._string("zone"),
+            region=self._string("region"),
             callers=self._address("listen-addresses", "front"),
             probes=self._address("listen-addresses", "ready"),
             store=self._address("platform", "address"),
@@ -145,21 +147,21 @@
             return Mechanisms()
 
     def _peers(self) -> Address | None:
-        """Return the first port that is free for the fleet's own use; None where none is named."""
+        """Return the address with the first port of the internal range; None without a range."""
         ports = self._get("internal-port-range")
         if ports is None:
             return None
         first = ports[0] if isinstance(ports, list) and ports else ports
-        address = parse_address(f"{self._text('ip-address')}:{first}")
+        address = parse_address(f"{self._string('ip-address')}:{first}")
         if address is None:
-            self._wrong(("internal-port-range",), "a list of ports", ports, None)
+            self._add_problem(("internal-port-range",), "a list of ports", ports, None)
         return address
 
     def _metrics(self) -> Address | None:
         port = os.environ.get(METRICS_PORT_VARIABLE)
         if port is None:
             return None
-        address = parse_address(f"{self._text('ip-address')}:{port}")
+        address = parse_address(f"{self._string('ip-address')}:{port}")
         if address is None:
             self.problems.append(f"{METRICS_PORT_VARIABLE}: expected a port, got {port!r}")
         return address
@@ -191,11 +193,11 @@
             value = value.get(name) if isinstance(value, dict) else None
         return value
 
-    def _text(self, *path: str) -> str:
+    def _string(self, *path: str) -> str:
         value = self._get(*path)
         if isinstance(value, str) and value:
             return value
-        return str(self._wrong(path, "a text", value, ""))
+        return str(self._add_problem(path, "a string", value, ""))
 
     def _number(self, default: float, *path: str) -> float:
         value = self._get(*path)
@@ -203,26 +205,26 @@
             return default
         if isinstance(value, int | float) and not isinstance(value, bool) and value >= 0:
             return value
-        return float(self._wrong(path, "a number of 0 or more", value, default))
+        return float(self._add_problem(path, "a number of 0 or more", value, default))
 
     def _address(self, *path: str) -> Address:
         value = self._get(*path)
         address = parse_address(value)
-        return address if address else self._wrong(path, ADDRESS_FORM, value, ("", 0))
+        return address if address else self._add_problem(path, ADDRESS_FORM, value, ("", 0))
 
-    def _wrong(self, path: tuple[str, ...], expected: str, got: Any, default: Any) -> Any:
+    def _add_problem(self, path: tuple[str, ...], expected: str, got: Any, default: Any) -> Any:
         place = ".".join(path)
         self.problems.append(f"{self._file}: {place}: expected {expected}, got {got!r}")
         return default
 
 
 def format_address(address: Address) -> bytes:
-    """Return an address as it is written in records."""
+    """Return an address in the IP:PORT form that records use."""
     return f"{address[0]}:{address[1]}".encode()
 
 
 def parse_address(value: Any) -> Address | None:
-    """Return the parts of an IP:PORT text; None for anything else."""
+    """Return the IP and port of an IP:PORT string; None for any other value."""
     if not isinstance(value, str):
         return None
     host, colon, port = value.rpartition(":")
--- a/src/beryljunction/platform/positions.py
+++ b/src/beryljunction/platform/positions.py
@@ -1,13 +1,13 @@
-"""Positions in a topic of the store, which may be restored from an older copy.
+"""Positions in a topic of the store, which may be restored from an older backup.
 
-A restored store gives offsets out again. Each restoration begins a new era, and a position is the
-era and the offset in one whole number: any position of a later era is behind all earlier ones.
+A restored store reuses offsets. Each restore starts a new era, and a position combines the era and
+the offset in one integer, so that every position of a later era is greater than all earlier ones.
 """
 
 __all__ = ["MOST_ERA", "era_of", "offset_of", "position_of"]
 
 _OFFSET_BITS = 48
-_MOST_OFFSET = (1 << _OFFSET_BITS) - 1
+_MAX_OFFSET = (1 << _OFFSET_BITS) - 1
 MOST_ERA = 1 << 16
 
 
@@ -17,10 +17,10 @@
 
 
 def era_of(position: int) -> int:
-    """Return the era of a position; 0 where the store names none."""
+    """Return the era of a position; 0 if the store sends no era."""
     return position >> _OFFSET_BITS
 
 
 def offset_of(position: int) -> int:
     """Return the offset of a position in its era."""
-    return position & _MOST_OFFSET
+    return position & _MAX_OFFSET
--- a/src/beryljunction/platform/records.py
+++ b/src/beryljunction/platform/records.py
@@ -21,32 +21,32 @@
 
 __all__ = ["Unusable", "decode_config", "decode_endpoint", "decode_evacuation"]
 
-_REPEATS = {"idempotent": Repeat.FREELY, "non_idempotent": Repeat.NEVER}
+_REPEAT_BY_KIND = {"idempotent": Repeat.FREELY, "non_idempotent": Repeat.NEVER}
 _STREAM_KIND = "streaming"
 _EVACUATION_PREFIX = "evacuate/"
-# No endpoint warms up for longer; a larger number is a fault of its writer.
-_MOST_COLD_MS = 600_000
+# No endpoint warms up for longer than this; a larger value is an error of its writer.
+_MAX_COLD_MS = 600_000
 
 
 @attrs.frozen
 class Unusable:
-    """A record that can't be used, with the place, what was expected and what was got."""
+    """A record that can't be used; the problem has the location, expected and actual value."""
 
     problem: str
 
 
 class _FieldError(ValueError):
-    """A field is missing or of another type."""
+    """A field is missing or has an invalid value."""
 
 
 def decode_endpoint(endpoint_id: str, value: bytes) -> EndpointRecord | Unusable:
-    """Return what an endpoint says of itself.
+    """Decode the record that an endpoint writes about itself.
 
-    Any record that lacks a field may be another writer's, so it names no endpoint.
+    A record without a required field may come from another writer, so it yields no endpoint.
     """
     try:
-        fields = _table(_json(value), "record")
-        state = _text(fields, "state")
+        fields = _table(_parse_json(value), "record")
+        state = _string(fields, "state")
         if state not in ("ready", "draining"):
             raise _FieldError(f"state: expected ready or draining, got {state!r}")
         address = parse_address(fields.get("address"))
@@ -55,47 +55,47 @@
         return EndpointRecord(
             endpoint_id=endpoint_id,
             born_ms=_born_ms(fields),
-            service=_text(fields, "service"),
+            service=_string(fields, "service"),
             address=address,
-            availability_zone=_text(fields, "zone"),
-            slots=_whole(fields, "slots", 1),
+            availability_zone=_string(fields, "zone"),
+            slots=_integer(fields, "slots", 1),
             is_draining=state == "draining",
             cold_ms=_cold_ms(fields),
-            sequence=_whole(fields, "sequence-number", 0, default=0),
+            sequence=_integer(fields, "sequence-number", 0, default=0),
         )
     except _FieldError as error:
         return Unusable(f"{endpoint_id}: {error}")
 
 
 def _cold_ms(fields: Mapping[str, Any]) -> int | None:
-    """Return how much longer the endpoint warms up; None for a number that can't be meant."""
+    """Return the remaining warm-up time of the endpoint; None if the number is out of range."""
     value = fields.get("cold-remaining-ms", 0)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise _FieldError(f"cold-remaining-ms: expected a number, got {value!r}")
-    return int(value) if 0 <= value <= _MOST_COLD_MS else None
+    return int(value) if 0 <= value <= _MAX_COLD_MS else None
 
 
 def decode_evacuation(key: str) -> str | Unusable | None:
-    """Return the availability zone that a key of the operator's empties; None for other keys.
+    """Return the availability zone that an operator's key evacuates; None for other keys.
 
-    The record itself says nothing more: the zone is empty while the record is there.
+    The value of the record is ignored: the zone stays evacuated as long as the key exists.
     """
     if not key.startswith(_EVACUATION_PREFIX):
         return None
     zone = key.removeprefix(_EVACUATION_PREFIX)
     if not zone or "\ufffd" in zone:
-        return Unusable(f"{key!r}: expected {_EVACUATION_PREFIX}ZONE, got no zone's name")
+        return Unusable(f"{key!r}: expected {_EVACUATION_PREFIX}ZONE, got no valid zone name")
     return zone
 
 
 def decode_config(value: bytes) -> FleetConfig | Unusable:
-    """Return the settings of the whole fleet."""
+    """Decode the settings of the whole fleet."""
     try:
-        fields = _table(_json(value), "configuration")
+        fields = _table(_parse_json(value), "configuration")
         routes = [_route(row) for row in _rows(fields, "routes")]
         services = [_service(row) for row in _rows(fields, "services")]
         return FleetConfig(
-            version=_whole(fields, "version", 0),
+            version=_integer(fields, "version", 0),
             routes=FleetConfig.index(routes),
             services={service.name: service for service in services},
             limits=_limits(fields.get("limits")),
@@ -106,53 +106,54 @@
 
 
 def _born_ms(fields: Mapping[str, Any]) -> int:
-    """Return the Unix milliseconds of the endpoint's start; it tells two starts of one id apart."""
-    return _whole(fields, "born", 0, default=0)
+    """Return the Unix time in ms at which the endpoint started; it identifies a start of one id."""
+    return _integer(fields, "born", 0, default=0)
 
 
 def _route(fields: Mapping[str, Any]) -> Route:
-    kind = _text(fields, "kind")
+    kind = _string(fields, "kind")
     streamed = kind == _STREAM_KIND
     resumes = streamed and fields.get("resume-streams") is True
     return Route(
-        name=_text(fields, "name"),
-        host=_text(fields, "host"),
-        path_prefix=_text(fields, "path-prefix"),
+        name=_string(fields, "name"),
+        host=_string(fields, "host"),
+        path_prefix=_string(fields, "path-prefix"),
         targets=_targets(fields),
-        # A kind that isn't known here is treated as the most careful one.
-        repeat=Repeat.RESUME if resumes else _REPEATS.get(kind, Repeat.NEVER),
+        # Routes of an unknown kind are never retried, the safest choice.
+        repeat=Repeat.RESUME if resumes else _REPEAT_BY_KIND.get(kind, Repeat.NEVER),
         streamed=streamed,
-        timeout_ms=_whole(fields, "timeout-ms", 1),
-        max_attempts=_whole(fields, "max-attempts", 1, default=1),
-        priority=_whole(fields, "priority", 0, default=0),
+        timeout_ms=_integer(fields, "timeout-ms", 1),
+        max_attempts=_integer(fields, "max-attempts", 1, default=1),
+        priority=_integer(fields, "priority", 0, default=0),
         allows_anonymous=fields.get("allow-anonymous") is True,
     )
 
 
 def _targets(fields: Mapping[str, Any]) -> tuple[WeightedService, ...]:
-    """Return the services of a route: one by its name, or several with weights."""
+    """Return the services of a route: a single one, or several with weights."""
     split = fields.get("traffic-split")
     if not split:
-        return (WeightedService(_text(fields, "service"), 1.0),)
+        return (WeightedService(_string(fields, "service"), 1.0),)
     targets = [
-        WeightedService(_text(row, "service"), _number(row, "weight"))
+        WeightedService(_string(row, "service"), _number(row, "weight"))
         for row in _rows(fields, "traffic-split")
     ]
-    used = tuple(target for target in targets if target.weight > 0)
-    if not used:
+    positive_targets = tuple(target for target in targets if target.weight > 0)
+    if not positive_targets:
         raise _FieldError("traffic-split: expected a weight above 0, got none")
-    return used
+    return positive_targets
 
 
 def _service(fields: Mapping[str, Any]) -> Service:
     engine = fields.get("engine")
-    traits = engine if isinstance(engine, dict) else {}
+    engine_fields = engine if isinstance(engine, dict) else {}
     return Service(
-        name=_text(fields, "name"),
+        name=_string(fields, "name"),
         is_engine=isinstance(engine, dict),
-        can_fetch=bool(traits.get("kv-token-bytes")) and bool(traits.get("link-mbps")),
-        cold_start_s=_amount(fields, "cold-start-s"),
-        cold_per_s=_amount(fields, "cold-per-s"),
+        can_fetch=bool(engine_fields.get("kv-token-bytes"))
+        and bool(engine_fields.get("link-mbps")),
+        cold_start_s=_non_negative_number(fields, "cold-start-s"),
+        cold_per_s=_non_negative_number(fields, "cold-per-s"),
     )
 
 
@@ -162,10 +163,10 @@
     fields = _table(value, "limits")
     default = CallerLimits()
     return CallerLimits(
-        header_bytes=_whole(fields, "max-header-bytes", 1, default.header_bytes),
-        body_bytes=_whole(fields, "max-body-bytes", 0, default.body_bytes),
-        header_timeout_ms=_whole(fields, "header-timeout-ms", 1, default.header_timeout_ms),
-        idle_timeout_ms=_whole(fields, "idle-timeout-ms", 1, default.idle_timeout_ms),
+        header_bytes=_integer(fields, "max-header-bytes", 1, default.header_bytes),
+        body_bytes=_integer(fields, "max-body-bytes", 0, default.body_bytes),
+        header_timeout_ms=_integer(fields, "header-timeout-ms", 1, default.header_timeout_ms),
+        idle_timeout_ms=_integer(fields, "idle-timeout-ms", 1, default.idle_timeout_ms),
     )
 
 
@@ -176,15 +177,15 @@
     for row in _rows(fields, "tenants"):
         priority = row.get("priority")
         is_set = isinstance(priority, int) and not isinstance(priority, bool)
-        account = Account(_text(row, "name"), priority if is_set else None)
+        account = Account(_string(row, "name"), priority if is_set else None)
         keys = row.get("api-keys")
         if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
-            raise _FieldError(f"tenants.{account.name}.api-keys: expected a list of texts")
+            raise _FieldError(f"tenants.{account.name}.api-keys: expected a list of strings")
         accounts.update((key, account) for key in keys)
     return accounts
 
 
-def _json(value: bytes) -> Any:
+def _parse_json(value: bytes) -> Any:
     try:
         return json.loads(value)
     except (ValueError, RecursionError) as error:
@@ -204,26 +205,26 @@
     return [_table(row, name) for row in value]
 
 
-def _text(fields: Mapping[str, Any], name: str) -> str:
+def _string(fields: Mapping[str, Any], name: str) -> str:
     value = fields.get(name)
     if isinstance(value, str) and value:
         return value
-    raise _FieldError(f"{name}: expected a text, got {type(value).__name__}")
+    raise _FieldError(f"{name}: expected a non-empty string, got {type(value).__name__}")
 
 
-def _whole(fields: Mapping[str, Any], name: str, least: int, default: int | None = None) -> int:
+def _integer(fields: Mapping[str, Any], name: str, minimum: int, default: int | None = None) -> int:
     value = fields.get(name)
     if value is None and default is not None:
         return default
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     number = float(value) if is_number and value is not None else math.nan
-    if math.isfinite(number) and number >= least:
+    if math.isfinite(number) and number >= minimum:
         return int(number)
-    raise _FieldError(f"{name}: expected a number of {least} or more, got {value!r}")
+    raise _FieldError(f"{name}: expected a number of {minimum} or more, got {value!r}")
 
 
-def _amount(fields: Mapping[str, Any], name: str) -> float:
-    """Return a number of 0 or more; 0 where there is none."""
+def _non_negative_number(fields: Mapping[str, Any], name: str) -> float:
+    """Return a number of 0 or more; 0 if the field is missing."""
     value = _number(fields, name) if fields.get(name) is not None else 0.0
     if math.isfinite(value) and value >= 0.0:
         return value
--- a/src/beryljunction/platform/requests.py
+++ b/src/beryljunction/platform/requests.py
@@ -1,4 +1,4 @@
-"""Reads what callers and endpoints say in headers, and writes what endpoints are to read."""
+"""Parses the headers of callers and endpoints, and builds the headers for endpoints."""
 
 from collections.abc import Sequence
 
@@ -21,7 +21,7 @@
 
 _Headers = Sequence[tuple[bytes, bytes]]
 
-# What tells an endpoint which request this is and what it asks; never dropped on the way.
+# Headers that identify and describe the request to the endpoint; they are never removed.
 MUST_STAY = frozenset(
     (
         b"host",
@@ -34,22 +34,22 @@
         b"x-length-hint",
     )
 )
-_ONCE = (b"host", headers.REQUEST_ID, headers.API_KEY)
-_MISDIRECTED = 421
-_UNAVAILABLE = 503
-# No endpoint is away for longer; a larger number is a fault of its writer.
-_MOST_PAUSE_S = 3_600.0
+_SINGLE_HEADERS = (b"host", headers.REQUEST_ID, headers.API_KEY)
+_STATUS_MISDIRECTED = 421
+_STATUS_UNAVAILABLE = 503
+# No endpoint pauses for longer than this; a larger value is an error of its writer.
+_MAX_PAUSE_S = 3_600.0
 
 
 @attrs.frozen
 class CallerNeeds:
-    """What a caller's headers ask for.
+    """Values that a caller's headers specify for the request.
 
     Attributes:
-        host: Name of the host without its port.
-        deadline_ms: How long the caller waits, from its sending; None where it does not say.
+        host: Value of the Host header without the port.
+        deadline_ms: How long the caller waits, from when it sent the request; None if not given.
         prompt_parts: Ids of the parts of the prompt, in order.
-        prompt_tokens: Tokens of each part.
+        prompt_tokens: Number of tokens of each part.
     """
 
     request_id: str
@@ -61,19 +61,19 @@
 
 
 def read_needs(lines: _Headers) -> CallerNeeds | str:
-    """Return what a caller asks for; a text tells what is wrong with it."""
+    """Parse a caller's headers; return an error message if they are invalid."""
     values = dict(reversed(lines))
-    for name in _ONCE:
+    for name in _SINGLE_HEADERS:
         count = sum(1 for key, _ in lines if key == name)
         if count > 1 or (name == b"host" and count == 0):
             return f"expected one {name.decode()} header, got {count}"
     key = values.get(headers.API_KEY)
-    parts = _parts(values.get(headers.PROMPT_PARTS, b""))
+    parts = _parse_prompt_parts(values.get(headers.PROMPT_PARTS, b""))
     return CallerNeeds(
         request_id=values.get(headers.REQUEST_ID, b"").decode("latin-1"),
         host=values[b"host"].decode("latin-1").partition(":")[0],
         api_key=key.decode("latin-1") if key is not None else None,
-        deadline_ms=_whole(values.get(headers.DEADLINE_LEFT_MS)),
+        deadline_ms=_parse_int(values.get(headers.DEADLINE_LEFT_MS)),
         prompt_parts=tuple(part for part, _ in parts),
         prompt_tokens=tuple(tokens for _, tokens in parts),
     )
@@ -88,16 +88,16 @@
     urgency: int,
     fetch_from: tuple[str, int] | None = None,
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers that an endpoint gets.
+    """Return the request headers that are sent to an endpoint.
 
     Args:
         lines: The caller's headers.
-        dropped: Names that concern the caller's connection only.
+        dropped: Names of headers that apply only to the caller's connection.
         endpoint_id: The only endpoint that may run the request.
-        left_ms: Time that the caller still waits.
-        account: Client account of the caller; None for an anonymous one.
-        urgency: 0 is served first.
-        fetch_from: Endpoint that keeps more of the prompt.
+        left_ms: Remaining time until the caller's deadline.
+        account: Client account of the caller; None for an anonymous caller.
+        urgency: Priority class; 0 is served first.
+        fetch_from: Address of an endpoint that has more of the prompt in its cache.
     """
     kept = [
         (name, value)
@@ -115,51 +115,51 @@
 
 
 def with_last_event(lines: _Headers, position: int) -> list[tuple[bytes, bytes]]:
-    """Return the headers with the position after which a stream is to go on."""
+    """Return the headers with a last-event-id, after which the endpoint resumes the stream."""
     kept = [line for line in lines if line[0] != headers.LAST_EVENT]
     return [*kept, (headers.LAST_EVENT, b"%d" % position)]
 
 
 def has_not_run(status: int, lines: _Headers) -> bool:
-    """Return whether an endpoint says that it did not run the request."""
-    return status == _MISDIRECTED or any(name == headers.NOT_RUN for name, _ in lines)
+    """Return whether the response states that the endpoint did not run the request."""
+    return status == _STATUS_MISDIRECTED or any(name == headers.NOT_RUN for name, _ in lines)
 
 
 def is_answer_to(request_id: str, lines: _Headers) -> bool:
-    """Return whether an answer is the request's own, in the encoding that its endpoint made.
+    """Return whether a response belongs to the request and has no content encoding.
 
-    An endpoint that is slow may answer an earlier request where the next answer is due.
+    A slow endpoint may send the response to an earlier request in place of the current one.
     """
-    names = dict(lines)
-    echoed = names.get(headers.REQUEST_ID, b"").decode("latin-1")
-    return echoed == request_id and b"content-encoding" not in names
+    values_by_name = dict(lines)
+    echoed = values_by_name.get(headers.REQUEST_ID, b"").decode("latin-1")
+    return echoed == request_id and b"content-encoding" not in values_by_name
 
 
 def is_leaving(status: int, lines: _Headers) -> bool:
-    """Return whether the endpoint that was asked says in its answer that it leaves.
+    """Return whether the response states that the endpoint is draining.
 
-    An answer that says the address is another endpoint's now tells nothing of the one asked.
+    A 421 comes from another endpoint at the same address, so its header is ignored.
     """
-    return status != _MISDIRECTED and (headers.LEAVING, b"1") in lines
+    return status != _STATUS_MISDIRECTED and (headers.LEAVING, b"1") in lines
 
 
 def pause_s_of(status: int, lines: _Headers) -> float:
-    """Return for how long an endpoint that turned a request away wants none; 0 where it is open.
+    """Return the Retry-After time of an endpoint's 503 response; 0 for any other response.
 
-    What is no number of seconds says nothing.
+    A value that is not a number of seconds counts as 0.
     """
-    if status != _UNAVAILABLE:
+    if status != _STATUS_UNAVAILABLE:
         return 0.0
     value = next((value for name, value in lines if name == headers.RETRY_AFTER_S), b"")
     try:
         pause_s = float(value)
     except ValueError:
         return 0.0
-    return min(pause_s, _MOST_PAUSE_S) if pause_s > 0.0 else 0.0
+    return min(pause_s, _MAX_PAUSE_S) if pause_s > 0.0 else 0.0
 
 
 def load_of(lines: _Headers) -> tuple[int, int] | None:
-    """Return the running and waiting requests that an endpoint states; None where it doesn't."""
+    """Return the running and waiting requests that an endpoint reports; None if it reports none."""
     value = next((value for name, value in lines if name == headers.LOAD), b"")
     fields = value.split(b",")
     if len(fields) != 3 or not all(field.strip().isdigit() for field in fields):
@@ -167,12 +167,12 @@
     return int(fields[0]), int(fields[1])
 
 
-def _whole(value: bytes | None) -> int | None:
+def _parse_int(value: bytes | None) -> int | None:
     return int(value) if value is not None and value.strip().isdigit() else None
 
 
-def _parts(value: bytes) -> list[tuple[str, int]]:
-    """Decode "ID:TOKENS,..."; what can't be read ends the list, since order matters."""
+def _parse_prompt_parts(value: bytes) -> list[tuple[str, int]]:
+    """Decode "ID:TOKENS,..."; an invalid part ends the list, since parts form a prefix."""
     parts = []
     for entry in value.split(b","):
         name, _, tokens = entry.strip().partition(b":")
--- a/src/beryljunction/platform/store.py
+++ b/src/beryljunction/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: a log of topics, two of which hold the newest record of a key."""
+"""Client of the platform's store: an append-only log of topics, some compacted by key."""
 
 import abc
 import collections
@@ -45,40 +45,40 @@
 _READ_PATH = "/beryljunction/log-read"
 _APPEND_PATH = "/beryljunction/log-append"
 _NEWEST_PATH = "/beryljunction/log-newest"
-# Number of times that the store was restored from an older copy, on each of its answers.
+# On each response of the store: how often the store was restored from an older backup.
 _ERA_HEADER = b"store-era"
-# A store under its slowest known trouble answers in 60 times its usual 4 ms, 0.24 s. An answer that
-# takes longer than this on top of the asked wait is taken as lost; asking again is harmless.
-_ANSWER_S = 1.0
-_CONNECT_S = 1.0
-# Three waiting reads and a short one go on at the same time.
-_CONNECTIONS = 4
-_MOST_ERA_CHARS = 16
+# A response that takes longer than this in addition to the requested wait counts as lost; a retry
+# is harmless. The slowest known fault makes the store respond in 0.24 s, 60 times its usual 4 ms.
+_RESPONSE_TIMEOUT_S = 1.0
+_CONNECT_TIMEOUT_S = 1.0
+# Three long-polling reads and one short call run at the same time.
+_MAX_KEEPALIVE_CONNECTIONS = 4
+_ERA_LENGTH_LIMIT = 16
 
 
 @attrs.frozen
 class Topic:
-    """Name of a topic whose only partition keeps the newest record of each key."""
+    """Name of a compacted topic: its only partition keeps the newest record of each key."""
 
     name: str
 
 
-# What the operator writes: the settings of the fleet under one key.
+# Written by the operator: the settings of the fleet under one key.
 FLEET_CONFIG = Topic("keyed.op")
 FLEET_CONFIG_KEY = "config"
-# What the endpoints write, each under its id.
+# Written by the endpoints, each under its id.
 ENDPOINT_RECORDS = Topic("keyed.servers")
-# What the entries write: under each host's name, where other entries may ask it.
+# Written by the entries, each under its host's name: the address for requests of other entries.
 ENTRY_ADDRESSES = Topic("keyed.entries")
 
 
 class Written(enum.Enum):
-    """How writing ended.
+    """Outcome of a write.
 
     Attributes:
-        DONE: The store has it.
-        NOT_DONE: The store turned it away.
-        UNKNOWN: There was no answer; it may be done, now or seconds later.
+        DONE: The store has the record.
+        NOT_DONE: The store rejected the record.
+        UNKNOWN: There was no response; the write may take effect now or seconds later.
     """
 
     DONE = "done"
@@ -87,16 +87,16 @@
 
 
 class Store(abc.ABC):
-    """What the fleet reads of the platform's store, and writes to it."""
+    """Interface through which the fleet reads and writes the platform's store."""
 
     @abc.abstractmethod
     async def read(
         self, topic: Topic, offset: int, wait_ms: int
     ) -> Records | Expired | Unavailable:
-        """Return the records from an offset on, at once or after waiting for one."""
+        """Return the records from an offset on; wait up to `wait_ms` if there are none."""
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Return whether records of a topic are on their way: a read's answer has begun."""
+        """Return whether the response to a read of a topic has begun and not yet ended."""
         return False
 
     @abc.abstractmethod
@@ -105,22 +105,22 @@
 
     @abc.abstractmethod
     async def put(self, topic: Topic, key: str, value: bytes | None) -> Written:
-        """Write the record of a key; None removes the key. Repeating it does no harm."""
+        """Write the record of a key; None removes the key. The call is idempotent."""
 
 
 class HttpStore(Store):
-    """Speaks to the store over HTTP.
+    """Accesses the store over HTTP.
 
-    Each call has a time-out, and a connection on which one passed is closed: after a lost answer
-    nothing more comes on it, though new connections work.
+    Each call has a timeout, and a connection on which a call timed out is closed: after a lost
+    response the connection stays silent, while new connections work.
 
-    Every answer names the era of the store. One of a later era than is known ends the reads that
-    wait, since they may wait for offsets that are given out again; answers to what was asked before
-    are dropped.
+    Every response has the era of the store. When a later era than the known one arrives, the
+    waiting reads are cancelled, since the store may reuse the offsets that they wait for.
+    Responses from before the restore are then dropped.
 
     Args:
-        address: Where the store is.
-        on_problem: Called with what is wrong with an era that can't be used.
+        address: IP address and port of the store.
+        on_problem: Called with an error message when an era can't be used.
     """
 
     def __init__(
@@ -128,13 +128,15 @@
     ) -> None:
         self._on_problem = on_problem
         self._era: int | None = None
-        self._reads: set[anyio.CancelScope] = set()
+        self._read_scopes: set[anyio.CancelScope] = set()
         self._origin = f"http://{address[0]}:{address[1]}"
-        self._pool = httpcore.AsyncConnectionPool(max_keepalive_connections=_CONNECTIONS)
+        self._pool = httpcore.AsyncConnectionPool(
+            max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
+        )
         self._receiving: collections.Counter[Topic] = collections.Counter()
 
     def is_receiving(self, topic: Topic) -> bool:
-        """Return whether records of a topic are on their way: a read's answer has begun."""
+        """Return whether the response to a read of a topic has begun and not yet ended."""
         return self._receiving[topic] > 0
 
     async def __aenter__(self) -> Self:
@@ -152,16 +154,16 @@
     async def read(
         self, topic: Topic, offset: int, wait_ms: int
     ) -> Records | Expired | Unavailable:
-        """Return the records from an offset on, at once or after waiting for one."""
+        """Return the records from an offset on; wait up to `wait_ms` if there are none."""
         query = f"?topic={topic.name}&part=0&from={offset_of(offset)}"
         if wait_ms:
             query += f"&wait-ms={wait_ms}"
         with anyio.CancelScope() as scope:
-            self._reads.add(scope)
+            self._read_scopes.add(scope)
             try:
                 answer = await self._call("GET", _READ_PATH + query, wait_ms / 1000, topic=topic)
             finally:
-                self._reads.discard(scope)
+                self._read_scopes.discard(scope)
         if scope.cancelled_caught:
             return Expired()
         if isinstance(answer, Unavailable):
@@ -178,28 +180,30 @@
     async def newest(self, topic: Topic) -> Newest | Unavailable:
         """Return the newest record of each key.
 
-        The pages are no snapshot, so reading goes on from the end that the first page names: what
-        was written during the paging is seen again there.
+        The pages are not an atomic snapshot, so `next_offset` is the end of the topic at the first
+        page: records written while paging are read again from there.
         """
         records: list[Record] = []
         first_end: int | None = None
         after = ""
         while True:
             query = f"?topic={topic.name}&part=0" + (f"&after={after}" if after else "")
-            page = await self._page(_NEWEST_PATH + query)
+            page = await self._fetch_page(_NEWEST_PATH + query)
             if isinstance(page, Unavailable):
                 return page
             if first_end is None:
                 first_end = page.end
             if era_of(page.end) != era_of(first_end):
-                return Unavailable("expected pages of one era, the store was restored meanwhile")
+                return Unavailable(
+                    "expected all pages to be of one era, but the store was restored while paging"
+                )
             records += page.records
             if not page.has_more or not page.records:
                 return Newest(tuple(records), first_end)
             after = page.records[-1].key
 
     async def put(self, topic: Topic, key: str, value: bytes | None) -> Written:
-        """Write the record of a key; None removes the key. Repeating it does no harm."""
+        """Write the record of a key; None removes the key. The call is idempotent."""
         name = key.encode()
         content = bytes([len(name)]) + name + (value or b"")
         path = f"{_APPEND_PATH}?topic={topic.name}&part=0"
@@ -208,7 +212,7 @@
             return Written.UNKNOWN
         return Written.DONE if answer.status == 200 else Written.NOT_DONE
 
-    async def _page(self, path: str) -> Page | Unavailable:
+    async def _fetch_page(self, path: str) -> Page | Unavailable:
         answer = await self._call("GET", path, 0.0)
         if isinstance(answer, Unavailable):
             return answer
@@ -226,56 +230,56 @@
         wait_s: float,
         body: bytes | None = None,
         topic: Topic | None = None,
-    ) -> "_Answer | Unavailable":
-        asked_era = self._era
+    ) -> "_Response | Unavailable":
+        era_at_request = self._era
         timeout = {
-            "connect": _CONNECT_S,
-            "read": wait_s + _ANSWER_S,
-            "write": _ANSWER_S,
-            "pool": _ANSWER_S,
+            "connect": _CONNECT_TIMEOUT_S,
+            "read": wait_s + _RESPONSE_TIMEOUT_S,
+            "write": _RESPONSE_TIMEOUT_S,
+            "pool": _RESPONSE_TIMEOUT_S,
         }
         try:
             async with self._pool.stream(
                 method, self._origin + path, content=body, extensions={"timeout": timeout}
             ) as response:
-                era = self._take_era(response.headers, asked_era)
+                era = self._update_era(response.headers, era_at_request)
                 if era is None:
-                    return Unavailable("an answer from before the store was restored")
-                return _Answer(response.status, await self._receive(response, topic), era)
+                    return Unavailable("got a response from before the store was restored")
+                return _Response(response.status, await self._read_body(response, topic), era)
         except (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError) as error:
             return Unavailable(f"{type(error).__name__} {error}".strip())
 
-    def _take_era(
-        self, headers: Sequence[tuple[bytes, bytes]], asked_era: int | None
+    def _update_era(
+        self, headers: Sequence[tuple[bytes, bytes]], era_at_request: int | None
     ) -> int | None:
-        """Return the era of an answer; None for one from before a restoration that is known.
+        """Return the era of a response; None for a response from before a restore that is known.
 
-        An era that is missing or can't be meant changes nothing: the known one holds.
+        If the era is missing or out of range, the known era is kept.
         """
         known = self._era or 0
         text = next((value for name, value in headers if name.lower() == _ERA_HEADER), None)
         if text is None:
             return known
-        era = int(text) if text.isdigit() and len(text) < _MOST_ERA_CHARS else MOST_ERA
+        era = int(text) if text.isdigit() and len(text) < _ERA_LENGTH_LIMIT else MOST_ERA
         if era >= MOST_ERA:
             self._on_problem(f"expected an era below {MOST_ERA}, got {text[:80]!r}")
             return known
         if self._era is None or era > self._era:
             self._era = era
-            if asked_era is not None:
-                self._end_reads()
+            if era_at_request is not None:
+                self._cancel_reads()
             return era
         if era < self._era:
-            if asked_era != self._era:
+            if era_at_request != self._era:
                 return None
             self._on_problem(f"expected era {self._era} or a later one, got {era}")
         return self._era
 
-    def _end_reads(self) -> None:
-        for scope in self._reads:
+    def _cancel_reads(self) -> None:
+        for scope in self._read_scopes:
             scope.cancel()
 
-    async def _receive(self, response: httpcore.Response, topic: Topic | None) -> bytes:
+    async def _read_body(self, response: httpcore.Response, topic: Topic | None) -> bytes:
         if topic is None:
             return await response.aread()
         self._receiving[topic] += 1
@@ -286,7 +290,7 @@
 
 
 @attrs.frozen
-class _Answer:
+class _Response:
     status: int
     body: bytes
     era: int
--- a/src/beryljunction/platform/storeformat.py
+++ b/src/beryljunction/platform/storeformat.py
@@ -1,4 +1,4 @@
-"""What the store answers to reads, and its form on the wire."""
+"""Results of reads from the store, and their encoding on the wire."""
 
 import base64
 import struct
@@ -20,13 +20,13 @@
     "encode_record",
 ]
 
-_LENGTH = struct.Struct(">I")
-_ENDS = struct.Struct(">QQ")
+_LENGTH_PREFIX = struct.Struct(">I")
+_END_AND_FIRST = struct.Struct(">QQ")
 
 
 @attrs.frozen
 class Record:
-    """The value that a key got; None where the key was removed."""
+    """A key and its new value; the value is None if the key was removed."""
 
     key: str
     value: bytes | None
@@ -34,10 +34,10 @@
 
 @attrs.frozen
 class Records:
-    """Records from the asked position on.
+    """Records from the requested position on.
 
     Attributes:
-        next_offset: Position from which to read on.
+        next_offset: Position for the next read.
     """
 
     records: tuple[Record, ...]
@@ -49,7 +49,7 @@
     """The newest record of each key.
 
     Attributes:
-        next_offset: Position from which to read what was written while the pages were fetched.
+        next_offset: Position of the next read, which returns records written while paging.
     """
 
     records: tuple[Record, ...]
@@ -58,24 +58,24 @@
 
 @attrs.frozen
 class Expired:
-    """The asked records are no longer there; the newest of each key are to be fetched."""
+    """The requested records are gone; the caller has to fetch the newest record of each key."""
 
 
 @attrs.frozen
 class Unavailable:
-    """No usable answer; reading again is harmless."""
+    """There was no usable response; a retry is harmless."""
 
     reason: str
 
 
 def encode_record(content: bytes) -> bytes:
-    """Return a record as it is appended."""
-    return _LENGTH.pack(len(content)) + content
+    """Return a record with its length prefix, as the store's append call expects it."""
+    return _LENGTH_PREFIX.pack(len(content)) + content
 
 
 @attrs.frozen
 class Page:
-    """A page of the newest records of keys; `end` is a position."""
+    """A page of the newest records of keys; `end` is the position of the topic's end."""
 
     records: tuple[Record, ...]
     end: int
@@ -93,28 +93,28 @@
 def decode_records(body: bytes, asked: int) -> Records | Expired:
     """Decode the end and first offset (8 bytes each), then length-prefixed records.
 
-    A position behind the end was never read here: another entry told it wrongly, and reading on
-    from there would wait for ever. The newest records say where the topic really is.
+    A position past the end is a wrong value from another entry, and a read from there would wait
+    forever. `Expired` makes the caller fetch the newest records and the actual end instead.
     """
-    end, first = _ENDS.unpack_from(body)
+    end, first = _END_AND_FIRST.unpack_from(body)
     offset = offset_of(asked)
     if offset > end:
         return Expired()
     start = max(offset, first)
-    position = _ENDS.size
+    position = _END_AND_FIRST.size
     records: list[Record] = []
     while position < len(body):
-        (length,) = _LENGTH.unpack_from(body, position)
-        position += _LENGTH.size
+        (length,) = _LENGTH_PREFIX.unpack_from(body, position)
+        position += _LENGTH_PREFIX.size
         if position + length > len(body):
-            raise ValueError("a record that ends early")
-        records.append(_decode_keyed(body[position : position + length]))
+            raise ValueError("record is truncated")
+        records.append(_decode_keyed_record(body[position : position + length]))
         position += length
     return Records(tuple(records), position_of(era_of(asked), start + len(records)))
 
 
-def _decode_keyed(content: bytes) -> Record:
-    """Decode one byte of key length, the key, and the value; no value removes the key."""
+def _decode_keyed_record(content: bytes) -> Record:
+    """Decode one byte of key length, the key, and the value; an empty value removes the key."""
     key_end = 1 + (content[0] if content else 0)
     key = content[1:key_end].decode(errors="replace")
     return Record(key, content[key_end:] or None)
--- a/testing/test_hostfile.py
+++ b/testing/test_hostfile.py
@@ -31,7 +31,7 @@
 
 
 class TestReadHostSettings:
-    def test_fields_become_settings_and_unknown_ones_are_left_alone(self, tmp_path):
+    def test_known_fields_are_read_and_unknown_ones_are_ignored(self, tmp_path):
         settings = read(tmp_path, FILE)
 
         assert settings.callers == ("10.1.0.40", 8227)
@@ -48,33 +48,33 @@
     @pytest.mark.parametrize(
         ("old", "new", "problem"),
         [
-            ('zone = "regina"', "", "zone: expected a text, got None"),
+            ('zone = "regina"', "", "zone: expected a string, got None"),
             ('"10.1.0.40:8227"', '"10.1.0.40"', "listen-addresses.front: expected IP:PORT"),
             ("= 8\n", '= "8"\n', "bounds.grace-period-s: expected a number"),
         ],
     )
-    def test_every_problem_is_a_line_with_place_expected_and_got(self, tmp_path, old, new, problem):
+    def test_problem_has_location_expected_and_actual_value(self, tmp_path, old, new, problem):
         with pytest.raises(SettingsError) as caught:
             read(tmp_path, FILE.replace(old, new))
 
         assert problem in str(caught.value)
         assert "node.toml" in str(caught.value)
 
-    def test_all_problems_are_told_at_once(self, tmp_path):
+    def test_all_problems_are_reported_at_once(self, tmp_path):
         with pytest.raises(SettingsError) as caught:
             read(tmp_path, "")
 
         assert len(caught.value.problems) == 6
 
-    def test_file_that_is_not_toml(self, tmp_path):
+    def test_file_that_is_not_toml_is_an_error(self, tmp_path):
         with pytest.raises(SettingsError, match="expected TOML"):
             read(tmp_path, "= 3")
 
-    def test_missing_file(self):
+    def test_missing_file_is_an_error(self):
         with pytest.raises(SettingsError, match="expected a readable file"):
             read_host_settings("/nowhere/node.toml")
 
-    def test_limits_of_cold_endpoints(self, tmp_path):
+    def test_limits_for_endpoints_that_warm_up_are_read(self, tmp_path):
         text = FILE.replace("[platform]", "cold-overshoot = 1.5\ncold-slack = 5\n[platform]")
 
         bounds = read(tmp_path, text).bounds
@@ -82,7 +82,7 @@
         assert (bounds.cold_overshoot, bounds.cold_slack) == (1.5, 5)
 
     @pytest.mark.parametrize("value", ["-1", "true", '"much"'])
-    def test_limit_that_is_none_is_an_error(self, tmp_path, value):
+    def test_invalid_limit_is_an_error(self, tmp_path, value):
         text = FILE.replace("[platform]", f"cold-slack = {value}\n[platform]")
 
         with pytest.raises(SettingsError, match="cold-slack: expected a number of 0 or more"):
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -11,8 +11,8 @@
 TOPIC = "keyed.servers"
 
 
-def played(play, model=None):
-    """Run a play against the stand-in over HTTP."""
+def run_scenario(scenario, model=None):
+    """Run a test scenario against the stand-in over HTTP and return its result."""
 
     async def run():
         async with anyio.create_task_group() as group:
@@ -21,7 +21,7 @@
             await group.start(server.run_until_stopped)
             address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
             async with HttpStore(address) as store:
-                result = await play(store, stand_in)
+                result = await scenario(store, stand_in)
             group.cancel_scope.cancel()
             return result
 
@@ -29,29 +29,29 @@
 
 
 class TestHttpStore:
-    def test_records_come_back_in_order_and_a_missing_value_removes_a_key(self):
-        async def play(store, stand_in):
+    def test_read_returns_records_in_order_and_an_empty_value_removes_a_key(self):
+        async def scenario(store, stand_in):
             stand_in.model.put(TOPIC, "a", b"1", time.monotonic())
             stand_in.model.put(TOPIC, "a", None, time.monotonic())
             return await store.read(ENDPOINT_RECORDS, 0, 0)
 
-        answer = played(play)
+        answer = run_scenario(scenario)
 
         assert isinstance(answer, Records)
         assert [(row.key, row.value) for row in answer.records] == [("a", b"1"), ("a", None)]
         assert answer.next_offset == 2
 
-    def test_position_behind_the_end_is_one_to_start_anew_from(self):
-        """An entry was told a position by another one that never was; it would wait there."""
+    def test_position_past_the_end_is_expired(self):
+        """A wrong position from another entry must not make an entry wait there forever."""
 
-        async def play(store, stand_in):
+        async def scenario(store, stand_in):
             stand_in.model.put(TOPIC, "a", b"1", time.monotonic())
             return await store.read(ENDPOINT_RECORDS, 99, 0)
 
-        assert played(play) == Expired()
+        assert run_scenario(scenario) == Expired()
 
     def test_waiting_read_returns_at_the_first_record(self):
-        async def play(store, stand_in):
+        async def scenario(store, stand_in):
             async def write():
                 await anyio.sleep(0.2)
                 stand_in.model.put(TOPIC, "a", b"1", time.monotonic())
@@ -62,38 +62,38 @@
                 answer = await store.read(ENDPOINT_RECORDS, 0, 5_000)
             return len(answer.records), anyio.current_time() - begun_s
 
-        count, took_s = played(play)
+        count, took_s = run_scenario(scenario)
 
         assert count == 1
         assert 0.15 < took_s < 1.0
 
-    def test_newest_records_come_over_all_pages(self):
-        async def play(store, stand_in):
+    def test_newest_reads_all_pages(self):
+        async def scenario(store, stand_in):
             for number in range(1_203):
                 stand_in.model.put(TOPIC, f"e{number:04}", b"1", time.monotonic())
             stand_in.model.put(TOPIC, "e0007", None, time.monotonic())
             return await store.newest(ENDPOINT_RECORDS), stand_in.calls["log-newest"]
 
-        answer, calls = played(play)
+        answer, calls = run_scenario(scenario)
 
         assert isinstance(answer, Newest)
         assert len(answer.records) == 1_202
         assert answer.next_offset == 1_204
         assert calls == 3
 
-    def test_expired_history_is_a_value(self):
-        async def play(store, stand_in):
+    def test_read_of_compacted_records_returns_expired(self):
+        async def scenario(store, stand_in):
             stand_in.model.put(TOPIC, "a", b"1", time.monotonic())
             stand_in.model.compact(TOPIC)
             return await store.read(ENDPOINT_RECORDS, 0, 0)
 
-        assert isinstance(played(play), Expired)
+        assert isinstance(run_scenario(scenario), Expired)
 
     @pytest.mark.parametrize("fault", ["busy", "silent", "lost"])
-    def test_failed_call_is_a_value_and_the_next_one_works(self, fault):
-        """A connection on which an answer was lost gives nothing more; new ones work."""
+    def test_failed_call_returns_unavailable_and_the_next_one_works(self, fault):
+        """After a lost response, a connection stays silent, so the client must open a new one."""
 
-        async def play(store, stand_in):
+        async def scenario(store, stand_in):
             if fault == "lost":
                 stand_in.faults.lost_ratio = 1.0
             else:
@@ -103,14 +103,14 @@
             stand_in.faults.busy = stand_in.faults.silent = False
             return failed, await store.read(ENDPOINT_RECORDS, 0, 0)
 
-        failed, again = played(play)
+        failed, again = run_scenario(scenario)
 
         assert isinstance(failed, Unavailable)
         assert isinstance(again, Records)
 
 
 class TestPlatformStoreModel:
-    def test_old_records_expire_and_the_newest_of_a_key_stays(self):
+    def test_old_records_expire_except_the_newest_of_each_key(self):
         model = PlatformStoreModel(retention_s=10.0)
         model.put(TOPIC, "a", b"1", 0.0)
         model.put(TOPIC, "b", b"1", 8.0)
@@ -121,28 +121,28 @@
         assert (has_more, end) == (False, 2)
         assert model.read(TOPIC, 0, 11.0).first == 1
 
-    def test_append_at_another_end_does_nothing(self):
+    def test_append_at_another_offset_than_the_end_does_nothing(self):
         model = PlatformStoreModel()
 
         assert model.append("own", [b"x"], 0.0, at=1) is None
         assert model.append("own", [b"x", b"y"], 0.0, at=0) == 0
         assert model.read("own", 0, 0.0).end == 2
 
-    def test_answer_that_has_begun_is_receiving_until_it_ends(self):
-        """A read of large settings goes on for a while on a thin link.
+    def test_is_receiving_from_the_first_to_the_last_byte_of_a_response(self):
+        """A read of large settings takes a while on a slow link.
 
-        A second read beside it would fetch the same, so who wants to read can see that it is on its
-        way. A read that only waits does not count, and one that breaks off no longer does.
+        A second read would fetch the same records, so callers check whether a response is arriving.
+        A read that only waits does not count, nor does one whose connection broke.
         """
-        begin, go_on = anyio.Event(), anyio.Event()
+        send_first_half, send_second_half = anyio.Event(), anyio.Event()
         seen = []
 
         async def answer(stream):
             async with stream:
                 await stream.receive()
-                await begin.wait()
+                await send_first_half.wait()
                 await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n" + bytes(8))
-                await go_on.wait()
+                await send_second_half.wait()
 
         async def run():
             async with anyio.create_task_group() as group:
@@ -151,7 +151,7 @@
                 address = listener.extra(anyio.abc.SocketAttribute.local_address)
                 async with HttpStore(address) as store, anyio.create_task_group() as reading:
                     reading.start_soon(store.read, ENDPOINT_RECORDS, 0, 1_000)
-                    for event in (begin, go_on, None):
+                    for event in (send_first_half, send_second_half, None):
                         await anyio.sleep(0.1)
                         seen.append(store.is_receiving(ENDPOINT_RECORDS))
                         if event is not None:
--- a/testing/test_platform_words.py
+++ b/testing/test_platform_words.py
@@ -3,8 +3,8 @@
 import re
 
 SOURCE = pathlib.Path(__file__).parent.parent / "src" / "beryljunction"
-# Names on the platform's wire that nothing else is called by.
-WORDS = (
+# Names in the platform's protocol that the project uses for nothing else.
+PROTOCOL_NAMES = (
     "x-expect-instance",
     "x-server-signature",
     "x-not-executed",
@@ -26,8 +26,8 @@
     "keyed.servers",
     "log-newest",
 )
-# What plays the platform in tests speaks its words as well.
-PLAYS_THE_PLATFORM = (
+# The adapter, and the code that simulates the platform in tests.
+ALLOWED_PATHS = (
     "platform/",
     "fuzz/platform/",
     "standins/platform_",
@@ -35,15 +35,19 @@
 )
 
 
-class TestPlatformWords:
-    def test_stand_only_in_the_adapter(self):
-        """A word of the platform's wire elsewhere would make its change a change of the product."""
+class TestProtocolNames:
+    def test_occur_only_in_the_adapter(self):
+        """With such a name elsewhere, a change of the platform's protocol would affect other code."""
         found = []
         for path in SOURCE.rglob("*.py"):
             name = path.relative_to(SOURCE).as_posix()
-            if name.startswith(PLAYS_THE_PLATFORM):
+            if name.startswith(ALLOWED_PATHS):
                 continue
             text = path.read_text().lower()
-            found += [f"{name}: {word}" for word in WORDS if re.search(re.escape(word), text)]
+            found += [
+                f"{name}: {protocol_name}"
+                for protocol_name in PROTOCOL_NAMES
+                if re.search(re.escape(protocol_name), text)
+            ]
 
         assert json.dumps(found) == "[]"
--- a/testing/test_records.py
+++ b/testing/test_records.py
@@ -26,7 +26,7 @@
 
 
 class TestConfig:
-    def test_words_of_the_platform_become_types(self):
+    def test_fields_are_decoded(self):
         decoded = config(tenants=[{"name": "acme", "api-keys": ["k1", "k2"], "priority": 3}])
 
         route = decoded.route_for("shop.EXAMPLE", "/a/b")
@@ -35,7 +35,7 @@
         assert decoded.accounts["k2"].priority == 3
         assert decoded.services["x"].is_engine
 
-    def test_service_says_what_its_cold_endpoints_bear(self):
+    def test_service_has_the_request_rate_of_its_warming_endpoints(self):
         row = {"name": "x", "cold-start-s": 3.0, "cold-per-s": 11}
 
         service = config(services=[row]).services["x"]
@@ -43,13 +43,13 @@
         assert (service.cold_start_s, service.cold_per_s) == (3.0, 11.0)
 
     @pytest.mark.parametrize("value", [-1, True, "fast"])
-    def test_rate_that_is_none_is_refused(self, value):
-        refused = config(services=[{"name": "x", "cold-per-s": value}])
+    def test_invalid_rate_is_rejected(self, value):
+        rejected = config(services=[{"name": "x", "cold-per-s": value}])
 
-        assert isinstance(refused, Unusable)
-        assert "cold-per-s" in refused.problem
+        assert isinstance(rejected, Unusable)
+        assert "cold-per-s" in rejected.problem
 
-    def test_split_follows_the_weights(self):
+    def test_traffic_split_follows_the_weights(self):
         route = config().route_for("shop.example", "/a/")
 
         assert [route.service_for(draw) for draw in (0.0, 0.89, 0.91, 0.999)] == [
@@ -59,16 +59,16 @@
             "y",
         ]
 
-    def test_unknown_kind_is_handled_with_the_most_care(self):
+    def test_route_of_unknown_kind_is_never_retried(self):
         decoded = config(routes=[{**ROUTE, "kind": "batched", "resume-streams": False}])
 
         assert decoded.route_for("shop.example", "/a/").repeat is Repeat.NEVER
 
-    def test_fleet_without_tenants_asks_for_no_key(self):
+    def test_fleet_without_client_accounts_needs_no_api_key(self):
         assert config().accounts is None
 
     @pytest.mark.parametrize(
-        ("fields", "place"),
+        ("fields", "message"),
         [
             ({"version": None}, "version: expected"),
             ({"version": True}, "version: expected"),
@@ -79,18 +79,18 @@
             ({"limits": 7}, "limits: expected a table"),
         ],
     )
-    def test_problem_names_its_place(self, fields, place):
+    def test_problem_has_its_location(self, fields, message):
         decoded = config(**fields)
 
         assert isinstance(decoded, Unusable)
-        assert place in decoded.problem
+        assert message in decoded.problem
 
-    def test_deep_nesting_is_a_problem_not_a_crash(self):
+    def test_deeply_nested_json_is_a_problem_and_not_a_crash(self):
         assert isinstance(decode_config(b"[" * 100_000), Unusable)
 
 
 class TestEndpoint:
-    def test_born_tells_two_starts_apart(self):
+    def test_born_distinguishes_two_starts_of_an_endpoint(self):
         fields = {"service": "x", "address": "10.0.0.1:8080", "zone": "a", "slots": 6}
         fields.update({"state": "ready", "cold-remaining-ms": 0})
 
