--- a/src/beryljunction/platform/deployfile.py
+++ b/src/beryljunction/platform/deployfile.py
@@ -144,7 +144,7 @@
         for interface in sorted(_INTERFACES):
             serving = [name for name in names if interface in roles[name].get("serves", ())]
             if len(serving) > 1:
-                yield f"roles: expected one role on {host_class} that serves {interface}, got {serving}"
+                yield f"roles: expected one on {host_class} that serves {interface}, got {serving}"
 
 
 def _unknown_field_problems(
--- a/src/beryljunction/settings/__init__.py
+++ b/src/beryljunction/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: process files and the fleet's tree."""
+"""Settings: the process files and the fleet-wide settings tree."""
 
 from beryljunction.settings.changes import (
     CHANGES_STREAM,
--- a/src/beryljunction/settings/changes.py
+++ b/src/beryljunction/settings/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the tree, as they stand on the log, and what became of each."""
+"""Changes to the settings tree, their encoding on the log, and the verdicts on them."""
 
 import enum
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 class Match(enum.StrEnum):
-    """Which paths a read covers."""
+    """Which changed paths a read covers."""
 
     EXACT = "exact"
     OVERLAP = "overlap"
@@ -38,18 +38,18 @@
 
 @attrs.frozen
 class Read:
-    """A part of the tree that a change relied on besides the paths that it edits.
+    """A part of the tree that a change depends on, in addition to the paths that it edits.
 
     Attributes:
-        path: The path read; with ``Match.UNDER`` its field is not looked at.
-        match: The path alone, the field at all overlapping scopes, or all below the scope.
+        path: The path read; with ``Match.UNDER`` its field is ignored.
+        match: The path alone, the field in all overlapping scopes, or everything below the scope.
     """
 
     path: str
     match: Match = Match.EXACT
 
     def covers(self, changed: Path) -> bool:
-        """Whether a change of that path touches what was read."""
+        """Return whether a change of this path affects the part that was read."""
         own = parse_path(self.path)
         if self.match is Match.UNDER:
             return own.scope.contains(changed.scope)
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Edit:
-    """One path set to a value, or unset so that it inherits again."""
+    """Sets one path to a value, or unsets it so that it inherits again."""
 
     path: str
     value: Any = None
@@ -69,13 +69,14 @@
 
 @attrs.frozen
 class Change:
-    """What an operator publishes.
+    """A set of edits that an operator publishes together.
 
     Attributes:
-        change_id: Unique id, by which a lost answer is looked up.
+        change_id: Unique id, used to find the change on the log after a lost response.
         base: Version of the tree that the operator saw.
-        reads: What the change's validity relied on. It travels with the change, so that readers
-            of other program versions, which know other rules, judge it alike.
+        reads: Parts of the tree that the change's validity depends on. They are stored in the
+            record, so that readers of other program versions, which have other rules, reach the
+            same verdict.
     """
 
     change_id: str
@@ -86,21 +87,21 @@
     note: str = ""
 
     def to_data(self) -> Any:
-        """Return the record's data; the id stands beside it in the record."""
+        """Return the data of the record; the record has the id in a field of its own."""
         data = _converter.unstructure(self)
         return {"kind": "change", **{k: v for k, v in data.items() if k != "change_id"}}
 
     @staticmethod
     def from_data(change_id: str, data: Any) -> "Change":
-        """Return the change in a record.
+        """Decode the change in a record.
 
         Raises:
-            ValueError: When the data is no change; readers skip such a record.
+            ValueError: When the data is not a change; readers skip such a record.
         """
         try:
             if data["kind"] != "change" or not data["edits"]:
                 raise ValueError("expected a change with edits")
-            _check_scalars(data)
+            _check_types(data)
             fields = {k: v for k, v in data.items() if k != "kind"}
             change = _converter.structure({"change_id": change_id, **fields}, Change)
             for path in [edit.path for edit in change.edits] + [read.path for read in change.reads]:
@@ -110,18 +111,18 @@
         return change
 
 
-def _check_scalars(data: Any) -> None:
+def _check_types(data: Any) -> None:
     if type(data["base"]) is not int or type(data["operator"]) is not str:
-        raise ValueError("expected a version as base and a name as operator")
+        raise ValueError("expected an integer as base and a string as operator")
 
 
 @attrs.frozen
 class Conflict:
-    """A path that somebody else changed after the base.
+    """A path that another change edited after the base.
 
     Attributes:
-        version: Version since which the winner's value is in force.
-        value: The winner's value; None when the winner unset the path.
+        version: Version since which the other change's value is in force.
+        value: The other change's value; None when it unset the path.
     """
 
     path: str
@@ -140,7 +141,7 @@
 
 @attrs.frozen
 class Refused:
-    """The change has no effect, at any reader."""
+    """The change conflicts or is not allowed; it has no effect on any reader."""
 
     reason: str
     conflicts: tuple[Conflict, ...] = ()
@@ -148,7 +149,7 @@
 
 @attrs.frozen
 class Skipped:
-    """The record is no change that can be judged; it has no effect, at any reader."""
+    """The record can't be decoded as a change; it has no effect on any reader."""
 
     reason: str
 
--- a/src/beryljunction/settings/files.py
+++ b/src/beryljunction/settings/files.py
@@ -1,4 +1,4 @@
-"""Reading and checking TOML settings files."""
+"""Reads and validates TOML settings files."""
 
 import pathlib
 import tomllib
@@ -17,8 +17,8 @@
 configure_union_passthrough(str | int | float | bool | None, converter)
 
 
-def _strict(expected: type, *accepted: type) -> None:
-    """Refuse values of another type instead of converting them: "12" is not 12."""
+def _register_strict(expected: type, *accepted: type) -> None:
+    """Make the converter reject values of other types: "12" is not converted to 12."""
 
     def structure_hook(value: Any, _: type) -> Any:
         if isinstance(value, bool) and expected is not bool or not isinstance(value, accepted):
@@ -28,17 +28,17 @@
     converter.register_structure_hook(expected, structure_hook)
 
 
-_strict(int, int)
-_strict(float, int, float)
-_strict(str, str)
-_strict(bool, bool)
+_register_strict(int, int)
+_register_strict(float, int, float)
+_register_strict(str, str)
+_register_strict(bool, bool)
 
 
 def structure(value: Any, cls: type[T], root: str) -> T:
-    """Turn plain data into an attrs class.
+    """Convert plain data to an instance of an attrs class.
 
     Raises:
-        SettingsError: With one line for each problem, all at once.
+        SettingsError: With one line for each problem.
     """
     try:
         return converter.structure(value, cls)
@@ -48,7 +48,7 @@
 
 
 def load_file(path: pathlib.Path, cls: type[T]) -> T:
-    """Read a TOML file as an attrs class.
+    """Read a TOML file into an instance of an attrs class.
 
     Raises:
         SettingsError: When the file can't be read, is not TOML or does not fit the class.
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -1,4 +1,4 @@
-"""What an operator does with the settings: look, check, publish, find out what became of it."""
+"""Operations of an operator on the settings: read, check, publish and look up a change."""
 
 import hashlib
 import hmac
@@ -30,20 +30,20 @@
 
 __all__ = ["Invalid", "OperatorSession"]
 
-_LOOK_S = 10.0
-_PUBLISH_S = 20.0
+_LOOK_TIMEOUT_S = 10.0
+_PUBLISH_TIMEOUT_S = 20.0
 _PAGE_RECORDS = 500
 
 
 @attrs.frozen
 class Invalid:
-    """The change was not published: it would make the tree invalid, or the key does not fit."""
+    """The change was not published: it makes the tree invalid or the operator may not make it."""
 
     problems: tuple[str, ...]
 
 
 class OperatorSession:
-    """One operator at the log; keeps a reader of its own, which publishes no snapshots."""
+    """One operator's session; it has its own reader, which publishes no snapshots."""
 
     def __init__(
         self,
@@ -68,8 +68,8 @@
         )
 
     async def look(self) -> bool:
-        """Read what is in force; False when the log did not answer and peers had to do."""
-        end_s = self._now_s() + _LOOK_S
+        """Read the settings in force; return False if the end of the log was not reached in time."""
+        end_s = self._now_s() + _LOOK_TIMEOUT_S
         while self._now_s() < end_s:
             pause_s = await self._follower.step()
             if self.reader.caught_up:
@@ -78,16 +78,16 @@
         return False
 
     async def replay(self) -> bool:
-        """Read all records that the log still keeps, each with the verdict on it."""
+        """Read all records that the log still keeps, so that the history has their verdicts."""
         page = await self._log.read(CHANGES_STREAM, 0, 1)
         if isinstance(page, ReadFailed):
             return False
         if page.first_offset > 1:
-            await self._take_oldest_snapshot(page.first_offset)
+            await self._apply_oldest_snapshot(page.first_offset)
         return await self.look()
 
     def unset_edits(self, text: str) -> tuple[Edit, ...]:
-        """Return the edits that unset a path, or everything below a scope.
+        """Return the edits that unset a path, or all paths within a scope.
 
         Raises:
             ValueError: When nothing is set there.
@@ -103,16 +103,16 @@
         return tuple(Edit(str(path), unset=True) for path in paths)
 
     def check(self, edits: tuple[Edit, ...]) -> Invalid | None:
-        """Return what speaks against edits; what was wrong before does not.
+        """Return the problems that the edits cause; existing problems of the tree don't count.
 
-        A tree may hold values that only a newer program knows. They are no reason to refuse
-        every other change.
+        A tree may hold values that only a newer program version knows. They must not block every
+        other change.
         """
         before = problems_of(self.reader.tree)
         after = problems_of(self.reader.tree.preview(edits))
         problems = [problem for problem in after if problem not in before]
-        if not self._key_fits():
-            problems.append(f"operator.{self._operator}: expected the key that belongs to it")
+        if not self._key_matches():
+            problems.append(f"operator.{self._operator}: expected the key of this operator")
         problems += [
             f"{edit.path}: operator {self._operator!r} may not change it"
             for edit in edits
@@ -123,7 +123,7 @@
     async def publish(
         self, edits: tuple[Edit, ...], note: str = "", change_id: str | None = None
     ) -> PublishAnswer | Invalid:
-        """Publish edits against what this session saw, and find out what became of them."""
+        """Publish edits based on the version that this session has read, and return the outcome."""
         invalid = self.check(edits)
         if invalid is not None:
             return invalid
@@ -135,7 +135,7 @@
             reads=reads_of(edits),
             note=note,
         )
-        system = PublishSystem(change, self._now_s() + _PUBLISH_S, self._rng)
+        system = PublishSystem(change, self._now_s() + _PUBLISH_TIMEOUT_S, self._rng)
         while True:
             step = system.next(self._now_s())
             if isinstance(step, AppendNow):
@@ -144,32 +144,32 @@
                 system.take_append(outcome, self._now_s())
             elif isinstance(step, ReadOn):
                 await self._sleep(step.wait_s)
-                await self._read_on(system)
+                await self._read_new_records(system)
             else:
                 return step
 
     def find(self, change_id: str) -> Judged | None:
-        """Return the first record with an id, as :meth:`replay` or :meth:`look` met it.
+        """Return the first record with an id that :meth:`replay` or :meth:`look` has read.
 
-        A second copy of an accepted change is refused by the first; the first is what counts.
+        A second copy of an accepted change is refused because of the first; the first one counts.
         """
         found = [judged for judged in self.reader.history if judged.change_id == change_id]
         return found[0] if found else None
 
-    async def _read_on(self, system: PublishSystem) -> None:
+    async def _read_new_records(self, system: PublishSystem) -> None:
         page = await self._log.read(CHANGES_STREAM, self.reader.version, _PAGE_RECORDS)
         if isinstance(page, ReadFailed):
             return
-        seen = self.reader.version
+        previous_version = self.reader.version
         self.reader.take_page(page)
         for judged in self.reader.history:
-            if judged.offset > seen:
+            if judged.offset > previous_version:
                 system.take_judged(judged)
         if self.reader.caught_up:
             system.take_end()
 
-    async def _take_oldest_snapshot(self, first_offset: int) -> None:
-        """Take the oldest snapshot from which the kept records go on."""
+    async def _apply_oldest_snapshot(self, first_offset: int) -> None:
+        """Apply the oldest snapshot from which the kept records continue without a gap."""
         after = 0
         while True:
             page = await self._log.read(SNAPSHOTS_STREAM, after, 1)
@@ -181,7 +181,7 @@
                 self.reader.take_snapshot(record.data)
                 return
 
-    def _key_fits(self) -> bool:
+    def _key_matches(self) -> bool:
         path = Path(Scope(operator=self._operator), "key_sha256")
         expected = self.reader.tree.value(path)
         if expected is None:
--- a/src/beryljunction/settings/paths.py
+++ b/src/beryljunction/settings/paths.py
@@ -1,9 +1,9 @@
-"""Paths in the tree of settings: a scope and a field.
+"""Paths in the settings tree: a scope and a field.
 
-The levels are fleet > region > client account > service. A scope names some of the levels, in this
-order, and a field follows: ``max_running``, ``service.drafter.max_running``,
-``region.gj-west.service.drafter.max_running``. Operators have a level of their own, which inherits
-nothing: ``operator.asha.may_change``.
+The levels are fleet > region > client account > service. A scope names some of the levels in this
+order, followed by a field: ``max_running``, ``service.drafter.max_running``,
+``region.gj-west.service.drafter.max_running``. Operators have a separate level, which does not
+inherit: ``operator.asha.may_change``.
 """
 
 import re
@@ -20,7 +20,7 @@
 
 @attrs.frozen(order=True)
 class Scope:
-    """The part of the fleet that a value is for; an empty name leaves a level open."""
+    """The part of the fleet that a value applies to; an empty name matches the whole level."""
 
     region: str = ""
     account: str = ""
@@ -28,12 +28,12 @@
     operator: str = ""
 
     def contains(self, other: "Scope") -> bool:
-        """Whether everything in the other scope lies in this one."""
+        """Return whether the other scope lies within this one."""
         pairs = zip(attrs.astuple(self), attrs.astuple(other), strict=True)
         return all(not own or own == others for own, others in pairs)
 
     def overlaps(self, other: "Scope") -> bool:
-        """Whether some process, account and service lie in both scopes."""
+        """Return whether some combination of region, account and service lies in both scopes."""
         if bool(self.operator) != bool(other.operator):
             return False
         pairs = zip(attrs.astuple(self), attrs.astuple(other), strict=True)
@@ -49,10 +49,10 @@
 
 @attrs.frozen(order=True)
 class Path:
-    """One leaf of the tree.
+    """The path of one leaf of the tree.
 
     Attributes:
-        field: Name of the setting; with its group where it has one, as in ``limits.body_bytes``.
+        field: Name of the setting, with its group if it has one, as in ``limits.body_bytes``.
     """
 
     scope: Scope
@@ -63,33 +63,33 @@
 
 
 def parse_path(text: str) -> Path:
-    """Return the path in its written form.
+    """Parse a path.
 
-    The grammar is part of the rule by which all readers judge a record, so it is the same in all
-    versions of the program; which fields exist is not.
+    All readers must reach the same verdict on a record, so this grammar must not change between
+    program versions; the set of fields may.
 
     Raises:
         ValueError: When the text is not a path.
     """
-    scope, rest = _split(text)
+    scope, rest = _split_scope(text)
     if not rest or not all(_NAME.fullmatch(part) for part in rest):
         raise ValueError(f"{text}: expected [region.R.][account.A.][service.S.]FIELD")
     return Path(scope, ".".join(rest))
 
 
 def parse_scope(text: str) -> Scope:
-    """Return the scope in its written form; "fleet" is the whole.
+    """Parse a scope; "fleet" is the whole fleet.
 
     Raises:
         ValueError: When the text is not a scope.
     """
-    scope, rest = _split("" if text == _FLEET else text)
+    scope, rest = _split_scope("" if text == _FLEET else text)
     if rest:
         raise ValueError(f"{text}: expected 'fleet' or [region.R][.account.A][.service.S]")
     return scope
 
 
-def _split(text: str) -> tuple[Scope, list[str]]:
+def _split_scope(text: str) -> tuple[Scope, list[str]]:
     rest = text.split(".") if text else []
     names = {}
     for level in (*_LEVELS, _OPERATOR):
@@ -97,5 +97,5 @@
             names[level] = rest[1]
             rest = rest[2:]
     if len(names) > 1 and _OPERATOR in names:
-        raise ValueError(f"{text}: expected operator.NAME alone")
+        raise ValueError(f"{text}: expected operator.NAME without another level")
     return Scope(**names), rest
--- a/src/beryljunction/settings/peers.py
+++ b/src/beryljunction/settings/peers.py
@@ -1,4 +1,4 @@
-"""Settings from other nodes over HTTP, for starts and outages of the log."""
+"""Exchanges settings with peers over HTTP at startup and while the log is down."""
 
 import json
 import random
@@ -18,12 +18,12 @@
 __all__ = ["SETTINGS_PATH", "HttpPeers", "answer_settings"]
 
 SETTINGS_PATH = "/beryl/v1/settings"
-# Version and digest in one line: it is most of what a meeting's answer costs.
-_STAND_HEADER = b"beryl-settings"
-_ANSWER_S = 1.0
-_ASKED_AT_ONCE = 64
-_NEWEST = 2**62
-_TREE_BYTES = 4_194_304
+# Version and digest share one header line, since it is most of the size of a 204 response.
+_VERSION_HEADER = b"beryl-settings"
+_REQUEST_TIMEOUT_S = 1.0
+_MAX_CONCURRENT_REQUESTS = 64
+_ABOVE_ANY_VERSION = 2**62
+_MAX_TREE_BYTES = 4_194_304
 
 
 async def answer_settings(
@@ -33,18 +33,18 @@
     receive: Receive,
     send: Send,
 ) -> None:
-    """Answer GET SETTINGS_PATH?after=N: 200 with the tree when it is newer, else 204.
+    """Respond to GET SETTINGS_PATH?after=N: 200 with the tree when it is newer than N, else 204.
 
-    PUT hands a tree over, which is taken if it is newer. Version and digest stand in a header
-    either way. The caller has checked the fleet's key; ``take`` takes in what is handed over.
+    Both responses have the version and digest in a header. PUT pushes a tree, which is passed to
+    ``take`` and applied if it is newer. The caller has checked the fleet's key.
     """
     if scope["method"] == "PUT":
-        _take(take, await read_body(receive, _TREE_BYTES))
+        _apply_pushed_tree(take, await read_body(receive, _MAX_TREE_BYTES))
         await respond(send, 204, b"")
         return
     fields = parse_qs(scope["query_string"].decode("latin-1"))
     after = int(fields.get("after", ["0"])[0])
-    headers = [(_STAND_HEADER, f"{reader.version} {reader.digest}".encode())]
+    headers = [(_VERSION_HEADER, f"{reader.version} {reader.digest}".encode())]
     if reader.version > after:
         await respond(send, 200, json.dumps(reader.tree.to_data()).encode(), headers)
     else:
@@ -52,7 +52,7 @@
         await send({"type": "http.response.body"})
 
 
-def _take(take: Callable[[Any], object], body: bytes | None) -> None:
+def _apply_pushed_tree(take: Callable[[Any], object], body: bytes | None) -> None:
     try:
         data = json.loads(body or b"")
     except ValueError:
@@ -61,11 +61,11 @@
 
 
 class HttpPeers(PeerSource):
-    """Meets nodes at the addresses that the process knows from the host list or its file.
+    """Exchanges trees with the peers that the host list or the settings file names.
 
     Args:
-        addresses: Nodes that can be met.
-        own: Address at which others meet this node; empty when they don't.
+        addresses: Addresses of the peers.
+        own: Address at which peers reach this process; empty when they can't.
     """
 
     def __init__(
@@ -83,28 +83,28 @@
         self._pool = pool
         self._fleet_key = fleet_key.encode()
         self._rotation = PeerRotation(rng if rng is not None else random.Random())
-        self._ahead = ""
+        self._preferred_address = ""
 
     @property
     def pace_s(self) -> float:
-        """Return the rotation's pace; see :meth:`PeerSource.pace_s`."""
+        """Return the rotation's interval; see :meth:`PeerSource.pace_s`."""
         return self._rotation.pace_s(self._own(), self._addresses())
 
     def note_newer(self, address: str) -> None:
-        """Meet this node next: it was heard to have newer settings."""
-        self._ahead = address
+        """Choose the peer at this address next, since it reported newer settings."""
+        self._preferred_address = address
 
     async def newer_than(self, version: int) -> Any:
-        """Meet the next node; see :meth:`PeerSource.newer_than`."""
-        ahead, self._ahead = self._ahead, ""
-        address = ahead or self._rotation.next(self._own(), self._addresses())
+        """Exchange trees with the next peer; see :meth:`PeerSource.newer_than`."""
+        preferred, self._preferred_address = self._preferred_address, ""
+        address = preferred or self._rotation.next(self._own(), self._addresses())
         if address is None:
             return None
-        response = await self._ask(address, version)
+        response = await self._fetch(address, version)
         if response is None:
             return None
-        if (_version_in(response) or 0) < self._reader.version:
-            # Only this node may know that version, and nobody meets an entry to ask for it.
+        if (_version_of(response) or 0) < self._reader.version:
+            # Push the tree: this process may be the only one with it, and peers don't poll entries.
             await self._request("PUT", address, "", json.dumps(self._reader.tree.to_data()))
         if response.status != 200:
             return None
@@ -114,32 +114,32 @@
             return None
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force at every node; None for one that does not answer."""
+        """Return the version in force at every address; None if there is no response."""
         found: dict[str, int | None] = {}
 
-        async def ask(address: str) -> None:
+        async def fetch_version(address: str) -> None:
             async with limiter:
-                response = await self._ask(address, _NEWEST)
-            found[address] = None if response is None else _version_in(response)
+                response = await self._fetch(address, _ABOVE_ANY_VERSION)
+            found[address] = None if response is None else _version_of(response)
 
-        limiter = anyio.CapacityLimiter(_ASKED_AT_ONCE)
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
         async with anyio.create_task_group() as group:
             for address in self._addresses():
-                group.start_soon(ask, address)
+                group.start_soon(fetch_version, address)
         return found
 
-    async def _ask(self, address: str, version: int) -> httpcore.Response | None:
+    async def _fetch(self, address: str, version: int) -> httpcore.Response | None:
         response = await self._request("GET", address, f"?after={version}")
-        heard = _version_in(response) if response is not None else None
-        if response is None or heard is None:
+        peer_version = _version_of(response) if response is not None else None
+        if response is None or peer_version is None:
             return None
-        self._reader.check_peer(heard, _stand_in(response)[1])
+        self._reader.check_peer(peer_version, _version_and_digest(response)[1])
         return response
 
     async def _request(
         self, method: str, address: str, query: str, body: str = ""
     ) -> httpcore.Response | None:
-        timeouts = dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_S)
+        timeouts = dict.fromkeys(("connect", "read", "write", "pool"), _REQUEST_TIMEOUT_S)
         try:
             return await self._pool.request(
                 method,
@@ -152,15 +152,15 @@
             return None
 
 
-def _version_in(response: httpcore.Response) -> int | None:
-    text = _stand_in(response)[0]
+def _version_of(response: httpcore.Response) -> int | None:
+    text = _version_and_digest(response)[0]
     return int(text) if text.isdecimal() else None
 
 
-def _stand_in(response: httpcore.Response) -> tuple[str, str]:
-    """Return the version and the digest that a node named; empty where it named none."""
+def _version_and_digest(response: httpcore.Response) -> tuple[str, str]:
+    """Return the version and digest in the response's header; empty strings if it is missing."""
     for key, value in response.headers:
-        if key.lower() == _STAND_HEADER:
+        if key.lower() == _VERSION_HEADER:
             version, _, digest = value.decode("latin-1").partition(" ")
             return version, digest
     return "", ""
--- a/src/beryljunction/settings/publishing.py
+++ b/src/beryljunction/settings/publishing.py
@@ -1,4 +1,4 @@
-"""What an operator's program does with a change until it can give a true answer."""
+"""State machine that publishes one change and determines its outcome."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Lost:
-    """The change was refused, at every reader alike."""
+    """Every reader refused the change."""
 
     change_id: str
     verdict: Refused
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class NotPublished:
-    """The change is not on the log and won't appear there."""
+    """The change is not on the log and will not be appended later."""
 
     change_id: str
     reason: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class Unknown:
-    """The change may be on the log; its id tells once the log answers again."""
+    """The change may be on the log; look it up by its id once the log responds again."""
 
     change_id: str
     reason: str
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class ReadOn:
-    """Wait, then read the log on from where the reader is."""
+    """Wait, then read the log from the reader's version on."""
 
     wait_s: float
 
@@ -76,65 +76,65 @@
 class PublishSystem:
     """Decides the next step for one change.
 
-    Load: the log answers late, not at all, or after the record went in, while other operators race.
-    Harm: an operator who is told "refused" and sees the change come into force later, or one who
-    publishes it twice over somebody else's newer value. A record whose answer was lost is looked
-    up by its id; when it is not there it is appended again under the same id and base. That is
-    safe: whichever copy comes first decides, since its own edit is newer than the base of the
-    second, and a conflict with the base never goes away.
+    The log may respond late, or append the record although its response is lost, while other
+    operators publish concurrently. An operator must not be told "refused" about a change that
+    comes into force later, nor overwrite a newer value by publishing twice. After a lost response
+    the record is looked up by its id; if it is not there, it is appended again with the same id
+    and base. This is safe because the first copy decides: if it was accepted, its edit conflicts
+    with the second copy, and if it conflicted with another change, so does the second copy.
     """
 
     def __init__(self, change: Change, deadline_s: float, rng: random.Random) -> None:
         self.change = change
         self._deadline_s = deadline_s
         self._rng = rng
-        self._answer: PublishAnswer | None = None
-        self._maybe_there = False
+        self._outcome: PublishAnswer | None = None
+        self._may_be_on_log = False
         self._next_append_s = 0.0
-        self._looked = True
-        self._reason = "no answer from the log"
+        self._has_read_to_end = True
+        self._reason = "no response from the log"
 
     def take_append(self, outcome: AppendOutcome, now_s: float) -> None:
-        """Take in what the log said to an append."""
+        """Process the log's response to an append."""
         if isinstance(outcome, Appended):
-            self._maybe_there = True
-            self._reason = f"on the log at offset {outcome.offset}, not read back yet"
+            self._may_be_on_log = True
+            self._reason = f"appended to the log at offset {outcome.offset}, but not read back yet"
             self._next_append_s = self._deadline_s
             return
         self._reason = outcome.reason
         pause_s = outcome.retry_after_s if isinstance(outcome, AppendRefused) else _RETRY_S
         self._next_append_s = now_s + pause_s * (1.0 + self._rng.random())
         if not isinstance(outcome, AppendRefused):
-            self._maybe_there = True
-            self._looked = False
+            self._may_be_on_log = True
+            self._has_read_to_end = False
 
     def take_judged(self, judged: Judged) -> None:
-        """Take in a record that the reader applied; the first with this id decides."""
-        if judged.change_id != self.change.change_id or self._answer is not None:
+        """Process a record that the reader applied; the first one with this id decides."""
+        if judged.change_id != self.change.change_id or self._outcome is not None:
             return
         if isinstance(judged.verdict, Accepted):
-            self._answer = InForce(judged.change_id, judged.verdict.version)
+            self._outcome = InForce(judged.change_id, judged.verdict.version)
         elif isinstance(judged.verdict, Refused):
-            self._answer = self._refused(judged.verdict)
+            self._outcome = self._outcome_of_refusal(judged.verdict)
 
     def take_end(self) -> None:
-        """Take in that the reader has seen the log's end."""
-        self._looked = True
+        """Note that the reader has reached the end of the log."""
+        self._has_read_to_end = True
 
     def next(self, now_s: float) -> PublishStep:
-        """Return the next step, or the answer."""
-        if self._answer is not None:
-            return self._answer
+        """Return the next step, or the outcome."""
+        if self._outcome is not None:
+            return self._outcome
         if now_s >= self._deadline_s:
-            if self._maybe_there:
+            if self._may_be_on_log:
                 return Unknown(self.change.change_id, self._reason)
             return NotPublished(self.change.change_id, self._reason)
-        if self._looked and now_s >= self._next_append_s:
+        if self._has_read_to_end and now_s >= self._next_append_s:
             return AppendNow()
         return ReadOn(0.1 * (1.0 + self._rng.random()))
 
-    def _refused(self, verdict: Refused) -> PublishAnswer:
-        own = [c for c in verdict.conflicts if c.change_id == self.change.change_id]
-        if own:
-            return InForce(self.change.change_id, own[0].version)
+    def _outcome_of_refusal(self, verdict: Refused) -> PublishAnswer:
+        own_conflicts = [c for c in verdict.conflicts if c.change_id == self.change.change_id]
+        if own_conflicts:
+            return InForce(self.change.change_id, own_conflicts[0].version)
         return Lost(self.change.change_id, verdict)
--- a/src/beryljunction/settings/reader.py
+++ b/src/beryljunction/settings/reader.py
@@ -1,6 +1,7 @@
-"""What one process knows of the settings: records in, view out; the version only grows.
+"""State of the settings in one process: takes log records and produces the resolved settings.
 
-Pure state, without I/O or a clock; :mod:`beryljunction.settings.following` moves it.
+The version only increases. There is no I/O and no clock here;
+:mod:`beryljunction.settings.following` supplies the records.
 """
 
 import collections
@@ -16,19 +17,20 @@
 
 __all__ = ["Alarms", "Judged", "SettingsReader"]
 
-_HISTORY = 512
+_MAX_HISTORY = 512
 
 
 @attrs.define
 class Alarms:
-    """What an operator should look at; each counts occurrences since the start.
+    """Conditions that an operator should look into, as counters since the start.
 
     Attributes:
-        poison_records: Records that are no change; skipped by every reader.
-        poison_snapshots: Snapshots that could not be read; another one is taken.
-        gaps: Times that the log had dropped records before they were read here.
-        unusable_values: Values in force that this program can't use; a weaker scope holds.
-        forks: Peers with another tree at the same version; must never happen.
+        poison_records: Records that are not a valid change; every reader skips them.
+        poison_snapshots: Snapshots that could not be decoded; another one is used.
+        gaps: Times that the log had dropped records before this reader got them.
+        unusable_values: Values in force that this program version rejects, at present; the value
+            of a weaker scope is used instead.
+        forks: Peers with a different tree at the same version; must never happen.
     """
 
     poison_records: int = 0
@@ -49,12 +51,12 @@
 
 
 class SettingsReader:
-    """The settings in force at one process.
+    """The settings in force in one process.
 
     Attributes:
-        view: Resolved settings of the process's region, ready for use on each request.
-        needs_snapshot: Whether records were dropped before they were read, so that the log's tail
-            alone can't be applied any more.
+        view: Resolved settings for the process's region.
+        needs_snapshot: Whether the log dropped records before they were read, so that the rest
+            of the log can't be applied without a snapshot.
         caught_up: Whether the last page read reached the end of the log.
         alarms: Counters for operators.
         history: Last verdicts, oldest first.
@@ -67,57 +69,57 @@
         self.needs_snapshot = False
         self.caught_up = False
         self.alarms = Alarms()
-        self.history: collections.deque[Judged] = collections.deque(maxlen=_HISTORY)
+        self.history: collections.deque[Judged] = collections.deque(maxlen=_MAX_HISTORY)
         self._digest = (0, "")
 
     @property
     def version(self) -> int:
-        """Offset of the last record applied."""
+        """Offset of the last applied record."""
         return self.tree.version
 
     @property
     def digest(self) -> str:
-        """Hash of the tree, worked out once a version."""
+        """Hash of the tree, cached per version."""
         if self._digest[0] != self.version or not self._digest[1]:
             self._digest = (self.version, self.tree.digest())
         return self._digest[1]
 
     def take_page(self, page: LogPage) -> bool:
-        """Apply the records that follow the present version; say whether the view changed.
+        """Apply the records that follow the current version; return whether the settings changed.
 
-        A page may be late, doubled or overlap with one already applied; what is not newer is
-        passed over. Nothing is applied across a gap: the dropped records may have changed what
-        the next ones are judged by, and this reader would go its own way for good.
+        A page may be late, repeated or overlap with an earlier one; records that are not newer are
+        skipped. Nothing is applied across a gap: the dropped records may affect the verdicts on
+        later ones, so this reader would diverge from the others permanently.
         """
         if page.first_offset > self.version + 1:
-            self._note_gap()
+            self._record_gap()
             return False
-        before = self.version
+        version_before = self.version
         accepted = False
         for record in page.records:
             if record.offset <= self.version:
                 continue
             if record.offset != self.version + 1:
-                self._note_gap()
+                self._record_gap()
                 break
             verdict = self.tree.apply(record)
-            self._note(record.offset, record.record_id, record.data, verdict)
+            self._record_verdict(record.offset, record.record_id, record.data, verdict)
             accepted = accepted or isinstance(verdict, Accepted)
         self.caught_up = self.version == page.next_offset - 1
         if self.caught_up:
             self.needs_snapshot = False
         if accepted:
             self._resolve()
-        elif self.version != before:
+        elif self.version != version_before:
             self.view = attrs.evolve(self.view, version=self.version)
         return accepted
 
     def take_snapshot(self, data: Any) -> bool:
-        """Take the whole tree from the log or a peer if it is newer; say whether it was.
+        """Replace the tree by a snapshot if that is newer; return whether it was.
 
-        Load: a process that starts, or one that was paused beyond the log's retention, perhaps
-        while the log is down and the only snapshot comes from a peer that lags. An older tree is
-        passed over, so an accepted change never reverts here.
+        The snapshot comes from the log or a peer. A process needs it when it starts or was paused
+        beyond the log's retention. While the log is down, the only snapshot may come from a peer
+        that lags. An older tree is ignored, so that an accepted change is never reverted.
         """
         try:
             tree = SettingsTree.from_data(data)
@@ -132,17 +134,17 @@
         return True
 
     def check_peer(self, version: int, digest: str) -> None:
-        """Raise the alarm when a peer has another tree at the same version."""
+        """Count a fork when a peer has a different tree at the same version."""
         if version == self.version and digest != self.digest:
             self.alarms.forks += 1
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         if not self.needs_snapshot:
             self.alarms.gaps += 1
         self.needs_snapshot = True
         self.caught_up = False
 
-    def _note(self, offset: int, change_id: str, data: Any, verdict: Verdict) -> None:
+    def _record_verdict(self, offset: int, change_id: str, data: Any, verdict: Verdict) -> None:
         change = None
         if isinstance(verdict, Skipped):
             self.alarms.poison_records += 1
--- a/src/beryljunction/settings/resolving.py
+++ b/src/beryljunction/settings/resolving.py
@@ -1,8 +1,8 @@
-"""From the tree to the settings that one process uses: inheritance, defaults, origins.
+"""Resolves the tree to the settings that one process uses: inheritance, defaults and origins.
 
-The stronger scope names the deeper level: a value for a service wins over one for an account, that
-over one for a region, that over the fleet's; of two that name the same deepest level the one that
-also names the next deeper wins.
+The scope with the deeper level is the stronger one: a value for a service overrides one for an
+account, which overrides one for a region, which overrides one for the fleet. Of two scopes with the
+same deepest level, the one that also names the next deeper level is stronger.
 """
 
 from collections.abc import Iterator
@@ -26,11 +26,11 @@
 
 @attrs.frozen
 class Origin:
-    """Where a value comes from.
+    """A value and the scope that set it.
 
     Attributes:
-        scope: Scope that set the value; None for the default of the program.
-        overridden: Weaker scopes that set a value too, strongest first.
+        scope: Scope that set the value; None for the program's default.
+        overridden: Weaker scopes that also set a value, strongest first.
     """
 
     value: Any
@@ -39,7 +39,7 @@
 
 
 class Resolver:
-    """Answers what is in force in one region."""
+    """Resolves the values in force in one region."""
 
     def __init__(self, tree: SettingsTree, region: str) -> None:
         self._region = region
@@ -51,38 +51,40 @@
             self._add(path, value)
 
     def origin(self, field: str, account: str = "", service: str = "") -> Origin | None:
-        """Return the strongest value of a field and where it was set; None when it nowhere was."""
+        """Return the strongest value of a field and its scope; None when no scope sets it."""
         by_scope = self._by_field.get(field)
         if by_scope is None:
             return None
-        found = [s for s in _scopes(self._region, account, service) if s in by_scope]
-        if not found:
+        matching = [s for s in _matching_scopes(self._region, account, service) if s in by_scope]
+        if not matching:
             return None
-        return Origin(by_scope[found[0]], found[0], tuple(found[1:]))
+        return Origin(by_scope[matching[0]], matching[0], tuple(matching[1:]))
 
     def services(self) -> list[str]:
-        """Return the services that have been declared by their kind."""
+        """Return the declared services: those with a `kind`."""
         return sorted({scope.service for scope in self._by_field.get("kind", {}) if scope.service})
 
     def accounts(self) -> list[str]:
-        """Return the client accounts that have been declared by their key."""
+        """Return the declared client accounts: those with a `key_sha256`."""
         scopes = self._by_field.get("key_sha256", {})
         return sorted({scope.account for scope in scopes if scope.account})
 
     def account_services(self) -> list[tuple[str, str]]:
-        """Return the pairs of account and service for which an account has values of its own."""
-        own = {scope for by_scope in self._by_field.values() for scope in by_scope if scope.account}
+        """Return the (account, service) pairs for which the account overrides a service setting."""
+        account_scopes = {
+            scope for by_scope in self._by_field.values() for scope in by_scope if scope.account
+        }
         services = self.services()
         names = {f.name for f in attrs.fields(ServiceSettings)}
         accounts = {
             scope.account
-            for scope in own
+            for scope in account_scopes
             if any(scope in self._by_field.get(name, {}) for name in names)
         }
         return [(account, service) for account in sorted(accounts) for service in services]
 
     def build(self, cls: type, prefix: str = "", account: str = "", service: str = "") -> Any:
-        """Return an object of a settings class, with defaults where nothing was set."""
+        """Return an instance of a settings class, with defaults for fields that are not set."""
         values = {}
         for field in attrs.fields(cls):
             origin = self.origin(prefix + field.name, account, service)
@@ -92,10 +94,11 @@
         return cls(**values)
 
     def _add(self, path: Path, value: Any) -> None:
-        """Keep a value that this program can use.
+        """Add a value if this program version can use it.
 
-        A newer program may have published a field or a range that this one does not know. The
-        value stays in the tree; here the next weaker scope holds, and the alarm says so.
+        A newer program version may have published a field or a range that this one does not know.
+        The value stays in the tree; here the value of the next weaker scope is used, and a value
+        that is out of range is listed as unusable.
         """
         problem = problem_of(path, value)
         if problem is None:
@@ -105,7 +108,7 @@
 
 
 def resolve(tree: SettingsTree, region: str) -> tuple[FleetView, list[str]]:
-    """Return the settings of a region, and the problems of values that could not be used."""
+    """Return the settings of a region, and the problems of values that can't be used."""
     resolver = Resolver(tree, region)
     services = {s: resolver.build(ServiceSettings, service=s) for s in resolver.services()}
     accounts = {a: resolver.build(AccountSettings, account=a) for a in resolver.accounts()}
@@ -123,8 +126,8 @@
     return view, resolver.unusable
 
 
-def _scopes(region: str, account: str, service: str) -> Iterator[Scope]:
-    """Yield the scopes that hold for a place, strongest first."""
+def _matching_scopes(region: str, account: str, service: str) -> Iterator[Scope]:
+    """Yield the scopes that apply to a region, account and service, strongest first."""
     for of_service in dict.fromkeys((service, "")):
         for of_account in dict.fromkeys((account, "")):
             for of_region in dict.fromkeys((region, "")):
--- a/src/beryljunction/settings/rotation.py
+++ b/src/beryljunction/settings/rotation.py
@@ -1,4 +1,4 @@
-"""Which peer a node meets next, so that all meet within a time that can be worked out."""
+"""Chooses the next peer to exchange settings with, so that a change spreads in bounded time."""
 
 import random
 from collections.abc import Collection, Sequence
@@ -7,40 +7,44 @@
 
 __all__ = ["PeerRotation"]
 
-# Load: the log is down and one node alone knows the newest version. Harm: nodes serve by different
-# settings for longer than the 5 s that operators are promised. A meeting goes both ways, so:
+# When the log is down and only one process has the newest version, all processes must get it
+# within the 5 s that operators are promised. Sidecars form a ring; entries poll the ring but are
+# not on it. An exchange goes both ways, so:
 #
-# * of two nodes on the ring one meets the other in each round, and m nodes are done in m // 2
-#   meetings; one that is not on the ring (an entry) has told one of them after one meeting and
-#   learns from any of them by one more;
-# * (m // 2) * ring_s + 2 * outside_s is at most 3.2 s up to 13 on the ring, and the log's silence
-#   is noticed within 1.6 s: 4.8 s with peers that answer at once. One that does not answer adds
-#   its timeout to the rounds of those that meet it.
+# * in each round, one of any two processes on the ring polls the other, so m processes need m // 2
+#   exchanges. An entry pushes its version with one exchange, and gets the newest with one more;
+# * (m // 2) * ring_s + 2 * outside_s is at most 3.2 s for up to 13 processes on the ring, and it
+#   takes up to 1.6 s to notice that the log is silent. That is 4.8 s if peers respond immediately.
+#   A peer that does not respond adds its timeout to the rounds of those that poll it.
 #
-# No pace is quicker than that needs or than the budget of 4,096 B/s allows (`beryl-bench control`):
-# a busy service's load rows take 3,100 of it, and each sidecar is met as often as it meets, and by
-# entries. On a larger ring the time comes from the shuffle (news about doubles in each pace); it is
-# measured, not certain.
+# The intervals are no shorter than this requires, and stay within the budget of 4,096 B/s
+# (`beryl-bench control`): the load rows of a busy service take 3,100 B/s of it, and each sidecar
+# is polled as often as it polls, and by entries too. On a larger ring there is no such bound: a
+# version spreads by the shuffle, and about twice as many processes have it after each interval.
 
 
 @attrs.frozen
-class _Pace:
-    """Time from one meeting to the next, for rings of up to so many nodes."""
+class _Intervals:
+    """Interval between exchanges for rings of up to this many processes, in seconds."""
 
     nodes: int
     ring_s: float
     outside_s: float
 
 
-_CERTAIN = (_Pace(4, 0.7, 0.7), _Pace(10, 0.5, 0.35), _Pace(13, 0.45, 0.25))
-_LARGE_RING_S = 0.7
+_BOUNDED_INTERVALS = (
+    _Intervals(4, 0.7, 0.7),
+    _Intervals(10, 0.5, 0.35),
+    _Intervals(13, 0.45, 0.25),
+)
+_LARGE_RING_INTERVAL_S = 0.7
 
 
 class PeerRotation:
-    """Goes round the peers in shuffled rounds.
+    """Goes through the peers in shuffled rounds.
 
-    Independent random picks would leave a peer out for a long time now and then: with 13 nodes and
-    two picks in 3 s the slowest of 300 runs needed 8.8 s.
+    Independent random choices sometimes miss a peer for a long time: with 13 processes and two
+    choices in 3 s the slowest of 300 runs took 8.8 s.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -48,31 +52,31 @@
         self._round: list[str] = []
 
     def next(self, own: str, peers: Collection[str]) -> str | None:
-        """Return the peer to meet now; None without any.
+        """Return the peer to poll now; None if there are no peers.
 
         Args:
-            own: This node's name on the ring; empty for one that nobody meets.
-            peers: Names of the nodes that can be met.
+            own: This process's name on the ring; empty for one that is not on it.
+            peers: Names of the processes on the ring.
         """
         known = set(peers) - {own}
         self._round = [name for name in self._round if name in known]
         if not self._round:
-            self._round = _to_meet(own, sorted(known))
+            self._round = _peers_to_poll(own, sorted(known))
             self._rng.shuffle(self._round)
         return self._round.pop() if self._round else None
 
     @staticmethod
     def pace_s(own: str, peers: Collection[str]) -> float:
-        """Return the time from one meeting to the next."""
+        """Return the interval between two exchanges."""
         nodes = len({*peers, own} - {""})
-        for pace in _CERTAIN:
-            if nodes <= pace.nodes:
-                return pace.ring_s if own else pace.outside_s
-        return _LARGE_RING_S
+        for intervals in _BOUNDED_INTERVALS:
+            if nodes <= intervals.nodes:
+                return intervals.ring_s if own else intervals.outside_s
+        return _LARGE_RING_INTERVAL_S
 
 
-def _to_meet(own: str, peers: Sequence[str]) -> list[str]:
-    """Return the half of the ring that follows the own name; all for one that is not on it."""
+def _peers_to_poll(own: str, peers: Sequence[str]) -> list[str]:
+    """Return the half of the ring after the own name; all peers if it is not on the ring."""
     if not own:
         return list(peers)
     after = [name for name in peers if name > own] + [name for name in peers if name < own]
--- a/src/beryljunction/settings/rules.py
+++ b/src/beryljunction/settings/rules.py
@@ -1,6 +1,6 @@
-"""Which fields there are, with type, unit, range and the levels where each may be set.
+"""Validation rules of the fields: type, unit, range and the levels where each may be set.
 
-The fields are those of the classes in :mod:`beryljunction.settings.schema`; a range that is not
+The fields are those of the classes in :mod:`beryljunction.settings.schema`. A range that is not
 listed here follows from the field's unit.
 """
 
@@ -45,10 +45,10 @@
     "_ratio": (0.0, 1.0),
 }
 _UNITS = {"_s": "seconds", "_ms": "milliseconds", "_bytes": "bytes", "_tokens": "tokens"}
-_ANY_BOUNDS = (0, 10**9)
+_DEFAULT_BOUNDS = (0, 10**9)
 _CHOICES = {"kind": ("engine", "plain"), "role": ("both", "prefill", "decode")}
 _SHA256 = re.compile(r"[0-9a-f]{64}")
-# What an account may have of its own; the rest describes the endpoints, which accounts share.
+# Service fields that an account may override; the others describe endpoints, which are shared.
 _PER_ACCOUNT = frozenset(
     ("deadline_s", "max_waiting_per_account", "idempotent", "priority", "resume_s")
 )
@@ -57,13 +57,13 @@
 
 @attrs.frozen
 class FieldRule:
-    """What one field may hold and where.
+    """Allowed values of one field, and the levels where it may be set.
 
     Attributes:
-        type: Python type of the value; tuples are lists of strings.
-        bounds: Least and greatest number; None for other types.
+        type: Python type of the value; a tuple stands for a list of strings.
+        bounds: Smallest and largest number; None for other types.
         levels: Levels that a scope of this field may name.
-        default: What holds where nothing is set; None when there is no default.
+        default: Value if no scope sets the field; None when there is no default.
     """
 
     name: str
@@ -75,7 +75,7 @@
 
     @property
     def expected(self) -> str:
-        """What a value has to be, for a person."""
+        """Description of the allowed values, for error messages."""
         if self.choices:
             return "one of " + ", ".join(self.choices)
         if self.type is tuple:
@@ -90,7 +90,7 @@
         return f"{noun}{of_unit} from {self.bounds[0]:g} to {self.bounds[1]:g}"
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value has the type and lies in the range."""
+        """Return whether a value has the right type and is in the range."""
         if self.type is tuple:
             is_list = isinstance(value, (list, tuple))
             return is_list and all(isinstance(item, str) and item for item in value)
@@ -113,12 +113,14 @@
 
 
 def problem_of(path: Path, value: Any) -> str | None:
-    """Return what is wrong with a value at a path, as path, what was expected and what was got."""
+    """Return the problem of a value: path, expected and actual value; None if it is valid."""
     rule = rule_of(path)
     if rule is None:
         return f"{path}: expected a known field, got {path.field!r}"
-    named = {level for level in ("region", "account", "service") if getattr(path.scope, level)}
-    if not named <= rule.levels:
+    used_levels = {
+        level for level in ("region", "account", "service") if getattr(path.scope, level)
+    }
+    if not used_levels <= rule.levels:
         allowed = " > ".join(["fleet", *sorted(rule.levels, key=_level_order)])
         return f"{path}: expected {rule.name} at one of {allowed}, got it at {path.scope}"
     if rule.name == "key_sha256" and not (path.scope.account or path.scope.operator):
@@ -154,7 +156,7 @@
     for field in attrs.fields(attrs.resolve_types(cls)):
         kind = _plain_type(field.type)
         name = prefix + field.name
-        bounds = _bounds(name) if kind in (int, float) else None
+        bounds = _bounds_of(name) if kind in (int, float) else None
         choices = _CHOICES.get(name, ())
         default = None if field.default is attrs.NOTHING else field.default
         rules[name] = FieldRule(name, kind, bounds, choices, levels, default)
@@ -169,6 +171,6 @@
     return kind
 
 
-def _bounds(name: str) -> tuple[float, float]:
+def _bounds_of(name: str) -> tuple[float, float]:
     by_unit = (bounds for suffix, bounds in _UNIT_BOUNDS.items() if name.endswith(suffix))
-    return _FIELD_BOUNDS.get(name) or next(by_unit, _ANY_BOUNDS)
+    return _FIELD_BOUNDS.get(name) or next(by_unit, _DEFAULT_BOUNDS)
--- a/src/beryljunction/settings/schema.py
+++ b/src/beryljunction/settings/schema.py
@@ -1,7 +1,7 @@
-"""What may be set, with type, unit and default.
+"""All settings with their types and defaults.
 
-Two kinds of settings: a process file, read at start-up, says where one process lives; the fleet's
-tree says how the whole fleet behaves and comes from the platform's log.
+There are two kinds: a process file, read at startup, has the addresses and identity of one process;
+the settings tree, read from the platform's log, controls the behaviour of the whole fleet.
 """
 
 import attrs
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class TlsSettings:
-    """Certificates of a listener; the files are read again when they change."""
+    """Certificates of a listener; the files are reloaded when they change."""
 
     certificate_path: str
     key_path: str
@@ -32,20 +32,20 @@
 
 @attrs.frozen
 class ProcessSettings:
-    """Where one process lives.
+    """Identity and addresses of one process.
 
     Attributes:
         host: Name of the host, unique in the fleet.
         listen: IP address and port for requests.
         operator_listen: IP address and port for metrics, health and the timeline.
-        fleet_key: Secret that the fleet's processes show each other.
+        fleet_key: Secret with which the fleet's processes authenticate to each other.
         log_address: Base URL of the platform's log service.
         hosts_address: Base URL of the platform's host list.
         log_sample_ratio: Share of requests whose ordinary events are logged.
-        operator_keys_sha256: SHA-256 of the keys that the operator listener takes; two while a key
-            is being replaced. Without any it listens on a loopback address only.
-        log_retention_s: How long the log service keeps records; paces the snapshots and bounds the
-            life of idempotency keys.
+        operator_keys_sha256: SHA-256 of the keys that the operator listener accepts, two during a
+            key rotation. Without any it must listen on a loopback address.
+        log_retention_s: How long the log service keeps records; sets the interval of snapshots
+            and limits the lifetime of idempotency keys.
     """
 
     host: str
@@ -79,7 +79,7 @@
     """The process file of a sidecar.
 
     Attributes:
-        endpoint_id: Name of the endpoint that the sidecar stands beside.
+        endpoint_id: Name of the endpoint that the sidecar serves.
         endpoint_address: Base URL of the endpoint.
         fleet: Settings to start with, until those on the platform's log are read.
     """
@@ -100,11 +100,11 @@
         key: The operator's secret; the tree holds its SHA-256.
         log_address: Base URL of the platform's log service.
         region: Region that values are shown for when a path names none.
-        nodes: Addresses ("ip:port") of nodes that are asked what is in force there.
-        fleet_key: Secret that the nodes want to see.
+        nodes: Addresses ("ip:port") of processes that are asked for the settings in force there.
+        fleet_key: Secret that the fleet's processes require.
         hosts_address: Base URL of the platform's host list.
-        operator_key: Key that operator listeners want to see.
-        authority_path: Authority that signed the fleet's certificates; empty without TLS.
+        operator_key: Key that operator listeners require.
+        authority_path: CA certificate that signed the fleet's certificates; empty without TLS.
     """
 
     operator: str
@@ -120,15 +120,15 @@
 
 @attrs.frozen
 class LimitSettings:
-    """Limits on what one caller may send, and on what is kept for it.
+    """Limits on requests, responses and stored responses.
 
     Attributes:
-        request_s: Longest wait for an endpoint's answer that is not streamed.
-        connections: Requests that an entry serves at the same time.
-        body_s: Longest time for sending a request's body.
-        upload_bytes: Bodies that callers are sending to one entry, all together.
-        answer_bytes: Longest answer that is not streamed.
-        kept_total_bytes: Ended answers that a sidecar keeps for a resume, all together.
+        request_s: Longest wait for an endpoint's response that is not streamed.
+        connections: Requests that an entry serves concurrently.
+        body_s: Longest time in which a caller may send the body of a request.
+        upload_bytes: Total size of the request bodies that one entry is receiving.
+        answer_bytes: Largest response that is not streamed.
+        kept_total_bytes: Total size of the completed responses that a sidecar keeps for resumes.
     """
 
     body_bytes: int = 4_194_304
@@ -143,29 +143,30 @@
 
 @attrs.frozen
 class ServiceSettings:
-    """How one service is routed.
+    """Routing settings of one service.
 
     Attributes:
         kind: "engine" for a model engine, "plain" for any other service.
         models: Model names that callers may ask for; engines only.
-        load_multiple: Load that one endpoint may carry as a multiple of the service's mean.
-        idempotent: Whether a POST without ticket or key may be run again after a failure.
-        deadline_s: Longest wait for a start when the caller names none.
-        heartbeat_s: Longest silence on an open stream between our processes.
-        silence_s: Silence after which a stream is taken up again on a new connection.
-        resume_s: Time that a stream without a reader is kept for a resume.
-        pointer_s: Life of a chat pointer.
-        model_version: Version of the models that every engine of the service has to hold.
-        adapters: Adapters that every engine has to hold.
-        role: Part of the work that the engines do: "both", "prefill" or "decode".
-        min_serving: Engines of the service that keep serving while others load.
+        load_multiple: Largest load of one endpoint, as a multiple of the service's mean load.
+        idempotent: Whether a POST without ticket or idempotency key may be retried after a failure.
+        deadline_s: Longest wait for the start of a request if the caller sends no deadline.
+        heartbeat_s: Longest silence on an open stream between the fleet's processes.
+        silence_s: Silence after which a stream is resumed on a new connection.
+        resume_s: Time for which a stream without a reader is kept for a resume.
+        pointer_s: Lifetime of a chat pointer.
+        model_version: Version of the models that every engine of the service must have loaded.
+        adapters: Adapters that every engine must have loaded.
+        role: Phases that the engines run: "both", "prefill" or "decode".
+        min_serving: Number of engines that keep serving while others load a model.
         engine_silence_s: Silence of an engine's open stream after which it is resumed.
-        kept_bytes: Frames of one stream that are kept for a resume.
-        priority: What the engine is told of a request; of those that wait there the highest runs
-            first.
-        handover_s: Time that a stop may be held up by handing cached prefixes on; 0 hands on none.
-        handover_bytes: Cached state that a leaving engine hands on at the most.
-        kv_token_bytes: Cached state of one token.
+        kept_bytes: Size of the frames of one stream that are kept for a resume.
+        priority: Priority that the engine gets with a request; of the requests that wait there,
+            the one with the highest priority runs first.
+        handover_s: Longest time by which a handover of cached prefixes may delay a stop; 0 turns
+            handovers off.
+        handover_bytes: Largest size of the cache that a draining engine hands over.
+        kv_token_bytes: Size of the KV cache of one token.
     """
 
     kind: str = "engine"
@@ -196,7 +197,7 @@
 
 @attrs.frozen
 class AccountSettings:
-    """One client account; only the SHA-256 of its API key is ever stored."""
+    """One client account; its API key is stored only as SHA-256."""
 
     key_sha256: str
     weight: float = 1.0
@@ -204,11 +205,11 @@
 
 @attrs.frozen
 class WeightSettings:
-    """Limits on loads from the weight store.
+    """Limits on model loads from the weight store.
 
     Attributes:
-        parallel_loads: Loads that the store takes at one time, over the whole fleet.
-        load_s: Longest time that one load is expected to take.
+        parallel_loads: Largest number of concurrent loads in the whole fleet.
+        load_s: Longest expected time of one load.
     """
 
     parallel_loads: int = 8
@@ -217,7 +218,7 @@
 
 @attrs.frozen
 class OperatorSettings:
-    """One operator; only the SHA-256 of the key is ever stored.
+    """One operator; the key is stored only as SHA-256.
 
     Attributes:
         may_change: Scopes whose settings the operator may change; "fleet" is everything.
@@ -229,7 +230,7 @@
 
 @attrs.frozen
 class FleetView:
-    """The settings in force, as a process uses them: resolved, checked, of one version."""
+    """The resolved and validated settings of one version, as a process uses them."""
 
     version: int = 0
     services: dict[str, ServiceSettings] = attrs.field(factory=dict)
@@ -239,7 +240,7 @@
     account_services: dict[tuple[str, str], ServiceSettings] = attrs.field(factory=dict)
 
     def service_for(self, service: str, account: str) -> ServiceSettings:
-        """Return the settings of a service as one client account gets them; costs a look-up."""
+        """Return the settings of a service for one client account."""
         own = self.account_services.get((account, service))
         return own if own is not None else self.services[service]
 
--- a/src/beryljunction/settings/snapshots.py
+++ b/src/beryljunction/settings/snapshots.py
@@ -1,21 +1,22 @@
-"""When a node publishes a snapshot of the settings."""
+"""Schedules when a process publishes a snapshot of the settings."""
 
 import random
 
 __all__ = ["SnapshotSchedule"]
 
-# Load: every node of the fleet may publish, and the log takes a few hundred appends a second.
-# Harm: no snapshot before the old one is dropped, and a new host can't start; or 1,050 at once.
-# Each node waits from one to two eighths of the retention after the newest snapshot that it knows
-# and looks before it publishes, so the first of N timers publishes after about 1 + 1/N eighths and
-# the rest find its snapshot. Even a lone node, which learns of a snapshot up to two eighths late,
-# publishes the next at an age of four: half of the retention is left for outages of the log.
+# A new host can't start if the log drops the last snapshot before there is a newer one. Every
+# process may publish, but 1,050 at once are too many for a log that takes a few hundred appends a
+# second. Each process waits for one to two eighths of the retention after the newest snapshot that
+# it knows, and checks for a newer one before it publishes. So the first of N timers publishes after
+# about 1 + 1/N eighths, and the others find its snapshot. Even a single process, which may notice a
+# snapshot two eighths late, publishes the next when the last is four eighths old at most: half of
+# the retention is left for outages of the log.
 _PERIODS_PER_RETENTION = 8
 _RETRY_S = 5.0
 
 
 class SnapshotSchedule:
-    """One node's jittered timer."""
+    """Timer with jitter of one process."""
 
     def __init__(self, retention_s: float, rng: random.Random, now_s: float) -> None:
         self._period_s = retention_s / _PERIODS_PER_RETENTION
@@ -24,13 +25,13 @@
         self.seen(now_s)
 
     def due(self, now_s: float) -> bool:
-        """Whether to look for a newer snapshot and, without one, publish."""
+        """Return whether to check for a newer snapshot and, if there is none, publish one."""
         return now_s >= self.due_s
 
     def seen(self, now_s: float) -> None:
-        """Wait anew: somebody's snapshot was found, or the own one was published."""
+        """Restart the timer, after a newer snapshot was found or published."""
         self.due_s = now_s + self._period_s * (1.0 + self._rng.random())
 
     def failed(self, now_s: float) -> None:
-        """Try again soon: the log was down or at its limit."""
+        """Schedule a retry, after the log was down or at its rate limit."""
         self.due_s = now_s + _RETRY_S * (0.5 + self._rng.random())
--- a/src/beryljunction/settings/tree.py
+++ b/src/beryljunction/settings/tree.py
@@ -1,9 +1,9 @@
-"""The tree of settings as the log's records make it: the same at every reader.
+"""The settings tree, built from the log's records; it is the same at every reader.
 
-Whether a change stands is decided by the tree before it and the record alone. Types and ranges are
-not part of the rule: two program versions may know different ranges, and a record that one accepts
-and the other refuses would split the fleet for good. Values are checked before they are published
-and again where they are used (see :mod:`beryljunction.settings.resolving`).
+Whether a change is accepted depends only on the record and the tree before it. Types and ranges
+are not checked here: they may differ between two program versions, and the trees of the fleet would
+diverge permanently if one version accepted a record that the other refused. Values are validated
+before they are published and again when they are used (:mod:`beryljunction.settings.resolving`).
 """
 
 import json
@@ -26,21 +26,21 @@
 
 __all__ = ["Leaf", "SettingsTree"]
 
-# A removed path has to be remembered for as long as a change made against an older version may
-# arrive. 20,000 records are nine days of changes at the target of 2,100 a day; an older base is
-# refused, which costs the operator one more try.
-_REMEMBERED_VERSIONS = 20_000
-_FORGET_EVERY = 1_000
+# Removed paths are kept for this many versions to detect conflicts with changes that have an older
+# base. 20,000 records are nine days of changes at the target of 2,100 a day. A change with a base
+# before that is refused, and the operator has to publish it again.
+_MAX_BASE_AGE_VERSIONS = 20_000
+_CLEANUP_INTERVAL_VERSIONS = 1_000
 
 
 @attrs.frozen
 class Leaf:
-    """One path's newest change.
+    """The newest change of one path.
 
     Attributes:
         value: The value in force; None when the path was unset.
-        is_set: False for a path that inherits again.
-        version: Version that brought the value.
+        is_set: False for a path that was unset and inherits again.
+        version: Version that set or unset the path.
     """
 
     value: Any
@@ -51,18 +51,18 @@
 
 
 class SettingsTree:
-    """Leaves by path, at one version: the offset of the last record that was applied."""
+    """Leaves by path. The version is the offset of the last record that was applied."""
 
     def __init__(self, version: int = 0, leaves: dict[Path, Leaf] | None = None) -> None:
         self.version = version
         self.leaves = leaves if leaves is not None else {}
 
     def apply(self, record: LogRecord) -> Verdict:
-        """Apply the next record; the version moves on whatever the verdict."""
-        verdict = self._judge(record)
+        """Apply the next record; the version advances whatever the verdict is."""
+        verdict = self._evaluate(record)
         self.version = record.offset
-        if self.version % _FORGET_EVERY == 0:
-            self._forget()
+        if self.version % _CLEANUP_INTERVAL_VERSIONS == 0:
+            self._drop_old_removals()
         return verdict
 
     def value(self, path: Path) -> Any:
@@ -71,26 +71,26 @@
         return leaf.value if leaf is not None else None
 
     def values(self) -> dict[Path, Any]:
-        """Return the paths that are set, in the order of the tree."""
+        """Return the values of all paths that are set, sorted by path."""
         return {path: leaf.value for path, leaf in sorted(self.leaves.items()) if leaf.is_set}
 
     def preview(self, edits: tuple[Edit, ...]) -> "SettingsTree":
-        """Return a copy with edits applied, for checks before they are published."""
+        """Return a copy with the edits applied, to validate them before they are published."""
         copy = SettingsTree(self.version, dict(self.leaves))
         copy._write(Change("", self.version, "", edits), self.version)
         return copy
 
     def to_data(self) -> Any:
-        """Return the tree as a snapshot."""
+        """Return the data of a snapshot of the tree."""
         leaves = [[str(path), *attrs.astuple(leaf)] for path, leaf in sorted(self.leaves.items())]
         return {"kind": "snapshot", "version": self.version, "leaves": leaves}
 
     @staticmethod
     def from_data(data: Any) -> "SettingsTree":
-        """Return the tree in a snapshot.
+        """Decode the data of a snapshot.
 
         Raises:
-            ValueError: When the data is no snapshot.
+            ValueError: When the data is not a snapshot.
         """
         try:
             if data["kind"] != "snapshot" or type(data["version"]) is not int:
@@ -101,12 +101,12 @@
         return SettingsTree(data["version"], leaves)
 
     def digest(self) -> str:
-        """Return a hash of the whole tree; two trees of one version must have the same."""
+        """Return a hash of the whole tree; all trees of one version must have the same hash."""
         text = json.dumps(self.to_data(), sort_keys=True, separators=(",", ":"))
         return xxhash.xxh3_64_hexdigest(text.encode())
 
     def may_change(self, operator: str, scope: Scope) -> bool:
-        """Whether an operator's list covers a scope; without any operator everyone may."""
+        """Return whether an operator may change a scope; if no operators are set, everyone may."""
         operators = {path.scope.operator for path in self.values() if path.scope.operator}
         if not operators:
             return True
@@ -115,28 +115,28 @@
             return False
         return any(_covers(text, scope) for text in allowed)
 
-    def _judge(self, record: LogRecord) -> Verdict:
+    def _evaluate(self, record: LogRecord) -> Verdict:
         try:
             change = Change.from_data(record.record_id, record.data)
         except ValueError as error:
             return Skipped(str(error))
-        if not record.offset - _REMEMBERED_VERSIONS <= change.base < record.offset:
-            return Refused(f"expected a base just below {record.offset}, got {change.base}")
+        if not record.offset - _MAX_BASE_AGE_VERSIONS <= change.base < record.offset:
+            return Refused(f"expected a recent base below {record.offset}, got {change.base}")
         for edit in change.edits:
             if not self.may_change(change.operator, parse_path(edit.path).scope):
                 return Refused(f"{edit.path}: operator {change.operator!r} may not change it")
         conflicts = self._conflicts(change)
         if conflicts:
-            return Refused("changed since the base", conflicts)
+            return Refused("paths were changed since the base", conflicts)
         self._write(change, record.offset)
         return Accepted(record.offset)
 
     def _conflicts(self, change: Change) -> tuple[Conflict, ...]:
-        """Return what others changed since the base of what this change edits or relied on.
+        """Return the paths that this change edits or depends on and that changed since its base.
 
-        Load: ten operators and their scripts at once, 2,100 changes a day. With one base for the
-        whole tree nearly all of a burst is refused though the edits don't touch each other; with
-        a base for each path only true races are (figures in docs/design/settings.md).
+        Ten operators and their scripts make 2,100 changes a day. If the base were compared with
+        the version of the whole tree, nearly all changes of a burst would be refused although they
+        are unrelated; compared by path, only true conflicts are (docs/design/settings.md).
         """
         edited = {parse_path(edit.path) for edit in change.edits}
         newer = [(path, leaf) for path, leaf in self.leaves.items() if leaf.version > change.base]
@@ -152,10 +152,12 @@
             leaf = Leaf(value, not edit.unset, version, change.operator, change.change_id)
             self.leaves[parse_path(edit.path)] = leaf
 
-    def _forget(self) -> None:
-        oldest = self.version - _REMEMBERED_VERSIONS
-        gone = [p for p, leaf in self.leaves.items() if not leaf.is_set and leaf.version < oldest]
-        for path in gone:
+    def _drop_old_removals(self) -> None:
+        oldest = self.version - _MAX_BASE_AGE_VERSIONS
+        expired_paths = [
+            p for p, leaf in self.leaves.items() if not leaf.is_set and leaf.version < oldest
+        ]
+        for path in expired_paths:
             del self.leaves[path]
 
 
--- a/src/beryljunction/settings/validating.py
+++ b/src/beryljunction/settings/validating.py
@@ -1,4 +1,4 @@
-"""Checks before a change is published: every value, and what values have to fulfil together."""
+"""Validation before a change is published: single values, and constraints between values."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 
 __all__ = ["edits_between", "leaves_of", "problems_of", "reads_of", "tree_of"]
 
-# Fields that have to fit each other wherever they meet. Of two operators who change one each,
-# both changes are valid against what they saw and the result is not, so each is a read of the
-# other: calls that do not "permissible-right-commute" in the terms of Hamsaz (Houshmand and
-# Lesani, POPL 2019) are put in order, all others need none.
-_TOGETHER = (
+# Groups of fields with a constraint between them. If two operators change one field each, both
+# changes may be valid against the tree that each saw while the result is not. So a change of one
+# field reads the others, which makes such changes conflict: in the terms of Hamsaz (Houshmand and
+# Lesani, POPL 2019), only calls that do not "permissible-right-commute" need an order.
+_DEPENDENT_FIELDS = (
     ("floor_running", "max_running"),
     ("heartbeat_s", "silence_s"),
     ("models",),
@@ -25,7 +25,7 @@
 
 
 def leaves_of(data: dict[str, Any]) -> tuple[dict[Path, Any], list[str]]:
-    """Return the leaves of a TOML tree, and the problems of keys that are no paths."""
+    """Return the leaves of a TOML tree, and the problems of keys that are not valid paths."""
     leaves: dict[Path, Any] = {}
     problems = []
     pending = [("", data)]
@@ -44,7 +44,7 @@
 
 
 def tree_of(leaves: dict[Path, Any]) -> SettingsTree:
-    """Return a tree that holds just these leaves."""
+    """Return a tree with only these leaves."""
     return SettingsTree().preview(tuple(Edit(str(p), value) for p, value in leaves.items()))
 
 
@@ -56,10 +56,10 @@
 
 
 def problems_of(tree: SettingsTree) -> list[str]:
-    """Return everything that is wrong with a tree: path, what was expected, what was got."""
+    """Return all problems of a tree, each with path, expected and actual value."""
     values = tree.values()
     problems = [p for path, value in values.items() if (p := problem_of(path, value)) is not None]
-    problems += _undeclared(values)
+    problems += _undeclared_problems(values)
     problems += _operator_problems(values)
     regions = sorted({path.scope.region for path in values})
     for region in dict.fromkeys(["", *regions]):
@@ -68,20 +68,20 @@
 
 
 def reads_of(edits: tuple[Edit, ...]) -> tuple[Read, ...]:
-    """Return what the validity of edits relies on besides the paths that they change."""
+    """Return what the validity of edits depends on in addition to the paths that they change."""
     reads: dict[Read, None] = {}
     for edit in edits:
         path = parse_path(edit.path)
-        for read in (*_together_reads(path), *_declaration_reads(path, edit.unset)):
+        for read in (*_dependent_field_reads(path), *_declaration_reads(path, edit.unset)):
             if read.path != edit.path or read.match is not Match.EXACT:
                 reads[read] = None
     return tuple(reads)
 
 
-def _together_reads(path: Path) -> list[Read]:
+def _dependent_field_reads(path: Path) -> list[Read]:
     return [
         Read(str(Path(Scope() if path.field == "models" else path.scope, name)), Match.OVERLAP)
-        for group in _TOGETHER
+        for group in _DEPENDENT_FIELDS
         if path.field in group
         for name in group
         if name != path.field or len(group) == 1
@@ -89,7 +89,11 @@
 
 
 def _declaration_reads(path: Path, unset: bool) -> list[Read]:
-    """A value below a service relies on the service; removing the service, on nobody adding one."""
+    """Return the reads of declarations for an edit.
+
+    A value below a service depends on the service's declaration; removing the service depends on
+    all paths below it, since another operator may add one. The same goes for accounts.
+    """
     reads = []
     for level, field in _DECLARED_BY.items():
         name = getattr(path.scope, level)
@@ -102,7 +106,7 @@
     return reads
 
 
-def _undeclared(values: dict[Path, Any]) -> list[str]:
+def _undeclared_problems(values: dict[Path, Any]) -> list[str]:
     problems = []
     for path in values:
         for level, field in _DECLARED_BY.items():
@@ -127,7 +131,7 @@
 
 
 def _limit_problems(limits: LimitSettings, place: str) -> list[str]:
-    """A body that is longer than what all together may hold would never be taken."""
+    """Check that the longest allowed body fits into the total; otherwise it is never accepted."""
     if limits.upload_bytes >= limits.body_bytes:
         return []
     return [
@@ -157,5 +161,7 @@
         for model in service.models:
             owner = model_owner.setdefault(model, name)
             if owner != name:
-                problems.append(f"{where}.models: expected {model!r} once, got it at {owner} too")
+                problems.append(
+                    f"{where}.models: expected {model!r} at one service, got it at {owner} too"
+                )
     return problems
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -56,7 +56,7 @@
 
     def take_append(system, outcome, now_s):
         original(system, outcome, now_s)
-        system._maybe_there = False
+        system._may_be_on_log = False
 
     original = PublishSystem.take_append
     monkeypatch.setattr(PublishSystem, "take_append", take_append)
--- a/testing/test_deployfile.py
+++ b/testing/test_deployfile.py
@@ -64,7 +64,7 @@
 
         found = problems(tmp_path, f"{VALID}\n[roles.second]{second}")
 
-        assert "expected one role on front that serves front, got ['entry', 'second']" in found[0]
+        assert "expected one on front that serves front, got ['entry', 'second']" in found[0]
 
     @pytest.mark.parametrize("text", ["x", "build = 1", 'build = "x"\nroles = 3'])
     def test_invalid_file_is_an_error(self, tmp_path, text):
--- a/testing/test_platform_words.py
+++ b/testing/test_platform_words.py
@@ -37,7 +37,7 @@
 
 class TestProtocolNames:
     def test_occur_only_in_the_adapter(self):
-        """With such a name elsewhere, a change of the platform's protocol would affect other code."""
+        """Otherwise a change of the platform's protocol would affect code outside the adapter."""
         found = []
         for path in SOURCE.rglob("*.py"):
             name = path.relative_to(SOURCE).as_posix()
