--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -68,7 +68,7 @@
         )
 
     async def look(self) -> bool:
-        """Read the settings in force; return False if the end of the log was not reached in time."""
+        """Read the settings in force; return False if the log did not respond in time."""
         end_s = self._now_s() + _LOOK_TIMEOUT_S
         while self._now_s() < end_s:
             pause_s = await self._follower.step()
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -1,4 +1,4 @@
-"""Safeguards of the settings, each taken away by one function."""
+"""Functions that each disable one safeguard of the settings, for mutation tests."""
 
 from beryljunction.settings import (
     Read,
@@ -52,7 +52,7 @@
 
 
 def without_doubt(monkeypatch):
-    """An append without an answer is taken for one that did not happen."""
+    """Treat an append without a response as one that did not happen."""
 
     def take_append(system, outcome, now_s):
         original(system, outcome, now_s)
@@ -63,7 +63,7 @@
 
 
 def without_read_back(monkeypatch):
-    """An order that was given is believed to be in force."""
+    """Assume that an order is in force once it was sent."""
 
     def decide(system, wanted, state, now_s):
         if getattr(system, "believed", None) == wanted.fence:
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -1,4 +1,4 @@
-"""A fleet of four nodes, three operators, a log and engines in virtual time, with its oracle."""
+"""Simulated fleet in virtual time for the settings fuzz test, with an oracle."""
 
 import collections
 import random
@@ -36,7 +36,7 @@
 
 NODES = ("entry-0", "entry-1", "drafter-0", "drafter-1")
 OPERATORS = ("asha", "ravi", "mira")
-# Long enough that no history loses every snapshot, which is beyond what the platform promises.
+# Long enough that a snapshot always remains; the platform does not promise more.
 FOLLOW = FollowSettings(poll_s=0.0, pause_s=1.0, retention_s=400.0)
 AGREE_S = 5.0
 SILENT_S = 2.0
@@ -68,7 +68,7 @@
 
 
 class Oracle:
-    """The accepted records in log order, judged in the plainest way."""
+    """Reference model that computes the verdicts and the values after each record."""
 
     def __init__(self):
         self.accepted = []
@@ -85,10 +85,10 @@
             change = None
         if change is not None:
             paths = {edit.path for edit in change.edits}
-            since = [p for version, p in self.accepted if version > change.base]
+            newer_paths = [p for version, p in self.accepted if version > change.base]
             refused = change.base >= offset or any(
                 path in paths or any(self.covers(read, path) for read in change.reads)
-                for path in since
+                for path in newer_paths
             )
             self.verdicts.setdefault(record.record_id, []).append((offset, not refused))
             if not refused:
@@ -102,7 +102,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """A process with its reader, and the sidecar's part where there is an engine."""
+    """A simulated process with its settings reader."""
 
     name: str
     owner: str
@@ -114,7 +114,7 @@
 
 
 class Log(LogClient):
-    """The log as one process meets it, with time passing on the way there and back."""
+    """The log as one process sees it, with latency in both directions."""
 
     def __init__(self, world, node=None):
         self.world, self.node = world, node
@@ -124,14 +124,14 @@
         if self.node is not None and self.node.log_cut:
             return AppendUnknown("cut off")
         if self.world.random.random() < self.world.delayed_ratio:
-            self.world.scheduler.start(self._late(stream, record_id, data))
+            self.world.scheduler.start(self._append_later(stream, record_id, data))
             await sleep(2.0)
             return AppendUnknown("late")
         outcome = self.world.append(stream, record_id, data)
         await sleep(self.world.random.uniform(0.005, 0.05))
         return outcome
 
-    async def _late(self, stream, record_id, data):
+    async def _append_later(self, stream, record_id, data):
         await sleep(self.world.random.uniform(2.0, 30.0))
         self.world.append(stream, record_id, data)
 
@@ -209,7 +209,7 @@
 
 
 class World:
-    """A fleet of four nodes, three operators, a log and two kinds of engines."""
+    """A fleet of four processes, three operators, a log and two kinds of engines."""
 
     def __init__(self, number):
         self.random = random.Random(number)
@@ -289,19 +289,21 @@
         return list(self.nodes.values())
 
     def check_nodes(self):
-        """No reader goes back, and each holds what the accepted records up to its version say."""
+        """Check that no version decreases, and each tree equals the oracle's at its version."""
         for node in [*self.nodes.values(), *self.zombies]:
             version = node.reader.version
-            assert version >= node.highest, f"{node.name} went back"
+            assert version >= node.highest, f"version of {node.name} decreased"
             if version == node.highest:
                 continue
             node.highest = version
             values = {str(p): v for p, v in node.reader.tree.values().items()}
-            assert values == self.oracle.values_at[version], f"{node.name} differs at {version}"
+            assert (
+                values == self.oracle.values_at[version]
+            ), f"tree of {node.name} differs from the oracle at version {version}"
             assert node.reader.view.version == version
 
     def check_in_force(self):
-        """A change accepted while all is well is in force everywhere within 9 s."""
+        """Check that a change appended without faults is in force everywhere within 9 s."""
         now_s = self.scheduler.now_s
         for appended_s, record in self.records:
             if appended_s > self.last_fault_s + AGREE_S and appended_s + IN_FORCE_S <= now_s:
@@ -312,7 +314,7 @@
             if isinstance(answer, Invalid):
                 continue
             verdicts = self.oracle.verdicts.get(answer.change_id, [])
-            accepted = [offset for offset, stands in verdicts if stands]
+            accepted = [offset for offset, is_accepted in verdicts if is_accepted]
             assert len(accepted) <= 1
             if isinstance(answer, InForce):
                 assert accepted == [answer.version]
--- a/testing/test_account_settings.py
+++ b/testing/test_account_settings.py
@@ -1,4 +1,4 @@
-"""What a client account has of its own at a service, as callers see it."""
+"""Service settings that a client account overrides, and their effect on requests."""
 
 import attrs
 import pytest
@@ -19,7 +19,7 @@
 
 
 def view_of_jury(**own):
-    """Return settings in which the account "jury" has values of its own at "drafter"."""
+    """Return settings in which the account "jury" overrides values of the service "drafter"."""
     view = view_with()
     jury = attrs.evolve(view.services["drafter"], **own)
     return attrs.evolve(view, account_services={("jury", "drafter"): jury})
@@ -33,12 +33,12 @@
             pytest.param(OTHER_AUTH, None, 1, id="inherited"),
         ],
     )
-    async def test_request_of_an_account_that_may_not_repeat_is_not_tried_again(
+    async def test_failed_request_is_not_retried_if_the_account_is_not_idempotent(
         self, auth, ran, runs
     ):
-        # A jury's verdicts go through the drafter; for this account the operators have set that
-        # they may not be repeated. The first endpoint breaks off in the middle, and may have run
-        # the request. A second try elsewhere would be a second verdict.
+        # The account's requests must not run twice, but the service is idempotent by default. The
+        # first endpoint closes the connection during the response, so it may have run the request,
+        # and a retry on another endpoint could run it a second time.
         async with path_of(view_of_jury(idempotent=False)) as path:
             await path.sidecar(None, address=await path.breaking_endpoint())
             entry = await path.entry()
@@ -54,15 +54,15 @@
 
 
 class TestDeadline:
-    async def test_is_the_accounts_own(self):
-        # The account's callers give up after a second, so a longer wait would be work for nobody.
+    async def test_of_an_account_overrides_the_one_of_the_service(self):
+        # Work that outlasts the wait of the account's callers would be done for nobody.
         async with path_of(view_of_jury(deadline_s=1.5)) as path:
             app = await path.sidecar(ScriptedEngine())
             entry = await path.entry()
-            waits = []
+            deadlines_s = []
             offer = app.admission.offer
             app.admission.offer = lambda work, now_s: (
-                waits.append(round(work.deadline_s - work.arrived_s, 3)) or offer(work, now_s)
+                deadlines_s.append(round(work.deadline_s - work.arrived_s, 3)) or offer(work, now_s)
             )
             for auth in (AUTH, OTHER_AUTH):
                 async with path.pool.stream(
@@ -70,11 +70,11 @@
                 ) as answer:
                     assert answer.status == 200
 
-        assert waits == [1.5, ServiceSettings().deadline_s]
+        assert deadlines_s == [1.5, ServiceSettings().deadline_s]
 
 
 class TestWaiting:
-    def test_is_bounded_by_the_accounts_own_limit(self):
+    def test_queue_of_an_account_is_limited_by_its_own_limit(self):
         limits = AdmissionLimits(max_running=1, max_waiting_per_account=64)
         system = AdmissionSystem(limits)
         system.account_waiting = {"jury": 1}
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on the settings while only peers answer: real followers in virtual time."""
+"""Agreement on the settings through peers while the log is down, in virtual time."""
 
 import functools
 import json
@@ -18,7 +18,7 @@
 from beryljunction.stores import LogClient, LogPage, LogRecord, ReadFailed
 from virtual_time import Scheduler, sleep
 
-AGREE_S = 5.0
+MAX_AGREEMENT_S = 5.0
 TIMEOUT_S = 2.0
 
 
@@ -29,7 +29,7 @@
 
 
 class Log(LogClient):
-    """Holds one record until it goes down: it refuses, or it takes reads and answers nothing."""
+    """A log with one record. When it is down, it rejects reads or never responds to them."""
 
     def __init__(self, is_silent):
         self.is_silent, self.is_down = is_silent, False
@@ -46,7 +46,7 @@
 
 
 class Pool:
-    """Carries meetings between followers, each way in some milliseconds."""
+    """Delivers requests between followers with a few milliseconds of latency each way."""
 
     def __init__(self, followers, rng):
         self.followers, self.rng = followers, rng
@@ -93,8 +93,8 @@
         while True:
             await sleep(await step())
 
-    def agreed_s(self, first):
-        """Let the log go down right after one node read a change; return when all have it."""
+    def agreement_time_s(self, first):
+        """Take the log down after one process read a change; return the time until all have it."""
         self.scheduler.run(5.0 + self.rng.random())
         self.log.is_down = True
         began_s = self.scheduler.now_s
@@ -106,26 +106,25 @@
 
 
 @functools.cache
-def slowest_s(entries, sidecars, is_silent, first, seeds):
+def slowest_agreement_s(entries, sidecars, is_silent, first, seeds):
     fleets = (Fleet(entries, sidecars, is_silent, seed) for seed in range(seeds))
-    return max(fleet.agreed_s(first) for fleet in fleets)
+    return max(fleet.agreement_time_s(first) for fleet in fleets)
 
 
 class TestAgreement:
     @pytest.mark.parametrize("first", ["entry-0", "drafter-0"])
     @pytest.mark.parametrize("is_silent", [False, True], ids=["refuses", "silent"])
     @pytest.mark.parametrize("sidecars", [3, 8, 13], ids=["five", "prairie", "sahyog"])
-    def test_nodes_agree_within_5_s_by_peers_alone(self, sidecars, is_silent, first):
-        # An operator's change was accepted and one node has read it; then the log goes down,
-        # perhaps holding each read until its timeout. Callers would meet different limits at
-        # different nodes for as long as the news is left to chance, and for good if only an entry
-        # has it, which nobody asks.
-        assert slowest_s(3, sidecars, is_silent, first, 40) < AGREE_S
+    def test_processes_agree_within_5_s_through_peers_alone(self, sidecars, is_silent, first):
+        # The log goes down after only one process has read a change, and may block each read until
+        # its timeout. Different limits would apply in different processes: for long if peers are
+        # chosen at random, and permanently if only an entry has the change, since no peer polls it.
+        assert slowest_agreement_s(3, sidecars, is_silent, first, 40) < MAX_AGREEMENT_S
 
 
 class TestPeerRotation:
     @pytest.mark.parametrize("nodes", [2, 3, 4, 12, 13])
-    def test_each_pair_of_a_ring_meets_within_one_round_of_half_of_it(self, nodes):
+    def test_each_pair_of_a_ring_has_an_exchange_within_half_a_round(self, nodes):
         ring = [f"n{i}" for i in range(nodes)]
         met = set()
         for own in ring:
@@ -134,7 +133,7 @@
 
         assert len(met) == nodes * (nodes - 1) // 2
 
-    def test_a_peer_that_comes_or_goes_in_mid_round_does_not_end_it(self):
+    def test_round_goes_on_when_a_peer_joins_or_leaves(self):
         rotation = PeerRotation(random.Random(1))
         first = rotation.next("", ["a", "b", "c"])
 
@@ -143,5 +142,5 @@
         assert first in "abc"
         assert rest >= {"b", "c"} - {first}
 
-    def test_nobody_is_met_alone(self):
+    def test_single_process_has_no_peer(self):
         assert PeerRotation(random.Random(1)).next("a", ["a"]) is None
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -32,7 +32,7 @@
     return tuple(hashlib.sha256(key.encode()).hexdigest() for key in keys)
 
 
-def guarded(*keys, tls=None):
+def process_with_keys(*keys, tls=None):
     return attrs.evolve(PROCESS, operator_keys_sha256=digests_of(*keys), tls=tls)
 
 
@@ -59,28 +59,27 @@
 
 class TestOperatorKeys:
     @pytest.mark.parametrize("key", ["", "Bearer wrong", KEY, f"Basic {KEY}", "Bearer"])
-    def test_without_a_known_key_nothing_is_shown_or_changed(self, key):
-        # Someone who reaches the operator listener of a process tries to drain it. Each path that
-        # shows requests or changes something answers 401, one that does not exist too, and the
-        # process goes on taking work.
+    def test_requests_without_a_valid_key_are_rejected(self, key):
+        # Anyone who can reach the operator listener could otherwise drain the process or read its
+        # requests. All such paths, and unknown ones, respond with 401, and no drain begins.
         paths = ("/beryl/v1/status", "/beryl/v1/events", "/no-such", "/metrics/", "//livez")
         requests = [("GET", path, key) for path in paths]
 
         found, not_ready = anyio.run(
-            statuses, guarded(KEY), [("POST", "/beryl/v1/drain", key), *requests]
+            statuses, process_with_keys(KEY), [("POST", "/beryl/v1/drain", key), *requests]
         )
 
         assert found == [401] * 6
         assert not_ready != "leaving"
 
     @pytest.mark.parametrize("key", [KEY, NEXT_KEY])
-    def test_both_keys_are_taken_while_one_is_being_replaced(self, key):
+    def test_both_keys_are_accepted_during_a_key_rotation(self, key):
         requests = [
             ("GET", "/beryl/v1/status", f"Bearer {key}"),
             ("POST", "/beryl/v1/drain", f"Bearer {key}"),
         ]
 
-        found, not_ready = anyio.run(statuses, guarded(KEY, NEXT_KEY), requests)
+        found, not_ready = anyio.run(statuses, process_with_keys(KEY, NEXT_KEY), requests)
 
         assert (found, not_ready) == ([200, 202], "leaving")
 
@@ -88,9 +87,9 @@
     def test_probes_need_no_key(self, path, expected):
         requests = [("GET", path, ""), ("GET", "/metrics", "")]
 
-        assert anyio.run(statuses, guarded(KEY), requests)[0] == [expected, 200]
+        assert anyio.run(statuses, process_with_keys(KEY), requests)[0] == [expected, 200]
 
-    def test_loopback_listener_may_do_without_a_key(self):
+    def test_loopback_listener_needs_no_key(self):
         assert anyio.run(statuses, PROCESS, [("GET", "/beryl/v1/status", "")])[0] == [200]
 
     @pytest.mark.parametrize(
@@ -101,14 +100,14 @@
             pytest.param({"operator_keys_sha256": (KEY,)}, "64 lowercase", id="key and not hash"),
         ],
     )
-    def test_unsafe_settings_fail_the_start(self, changes, problem):
+    def test_insecure_settings_are_rejected_at_startup(self, changes, problem):
         with pytest.raises(StartError, match=problem):
             Node.entry(EntryFile(attrs.evolve(PROCESS, **changes)), FleetView())
 
 
 class TestOperatorTls:
-    def test_listener_speaks_only_tls_and_asks_probes_for_no_certificate(self):
-        process = guarded(KEY, tls=TLS)
+    def test_listener_accepts_only_tls_and_needs_no_client_certificate(self):
+        process = process_with_keys(KEY, tls=TLS)
         requests = [("GET", "/livez", ""), ("GET", "/beryl/v1/status", f"Bearer {KEY}")]
 
         found, _ = anyio.run(statuses, process, requests, client_context(AUTHORITY))
@@ -120,8 +119,8 @@
 
 
 @contextlib.asynccontextmanager
-async def listed(process):
-    """Start a process and a host list that has it; yield the list's URL."""
+async def host_list_with(process):
+    """Start a process and a host list that contains it; yield the URL of the list."""
     async with node_of(process) as node, anyio.create_task_group() as group:
         hosts = HostListStandIn()
         address = node.operator.address
@@ -137,13 +136,13 @@
     @pytest.mark.parametrize(
         ("key", "code"), [pytest.param(KEY, 0, id="key"), pytest.param("wrong", 1, id="wrong")]
     )
-    def test_each_sends_the_key_of_the_operators_file(self, tmp_path, capsys, tls, key, code):
+    def test_each_sends_the_key_from_the_operator_file(self, tmp_path, capsys, tls, key, code):
         config = tmp_path / "beryl.toml"
         file = {"operator": "asha", "log_address": "", "operator_key": key}
         file |= {"authority_path": AUTHORITY} if tls else {}
 
         async def run():
-            async with listed(guarded(KEY, tls=tls)) as hosts:
+            async with host_list_with(process_with_keys(KEY, tls=tls)) as hosts:
                 config.write_text(tomli_w.dumps(file | {"hosts_address": hosts}), "utf-8")
                 commands = (
                     lambda: status(config=config, json=True),
@@ -161,7 +160,7 @@
         else:
             assert "expected the key of the operator listener" in err
 
-    def test_unreadable_authority_is_named(self, tmp_path, capsys):
+    def test_unreadable_ca_file_is_reported(self, tmp_path, capsys):
         config = tmp_path / "beryl.toml"
         config.write_text('operator = "a"\nlog_address = ""\nauthority_path = "none.pem"\n')
 
--- a/testing/test_priority.py
+++ b/testing/test_priority.py
@@ -17,7 +17,7 @@
 
 
 def view_of(max_running=16, **priorities):
-    """Return settings by which accounts have priorities of their own at the model service."""
+    """Return settings in which accounts override the priority of the model service."""
     view = view_with(max_running=max_running, floor_running=max_running)
     own = view.services["drafter"]
     rows = {(a, "drafter"): attrs.evolve(own, priority=p) for a, p in priorities.items()}
@@ -25,7 +25,7 @@
 
 
 class Callers:
-    """Send work of two accounts to one sidecar and note in which order the answers end."""
+    """Send requests to one sidecar and record in which order the responses end."""
 
     def __init__(self, path):
         self.path = path
@@ -45,10 +45,10 @@
 
 
 class TestPriority:
-    async def test_short_urgent_work_overtakes_long_work_in_a_full_engine(self):
-        # The engine's batch is full and long drafts of one account wait in it. A programmer of
-        # another account asks for something short. Without a priority she would wait for all of
-        # the drafts; with it she waits for one place, and every draft still ends.
+    async def test_urgent_request_runs_before_long_ones_that_wait_in_a_full_engine(self):
+        # The engine's batch is full, and long requests of one account wait in its queue. Without
+        # priorities, short requests of another account would wait until all of them have run. The
+        # long requests must still complete.
         async with path_of(view_of(other=-5)) as path:
             engine = await sidecar_of(path, batch_limit=1)
             callers = Callers(path)
@@ -63,22 +63,22 @@
         assert {name[:4] for name in callers.ended[:3]} == {"note"}
         assert len(callers.ended) == 6
 
-    async def test_lower_priority_is_not_starved_by_a_flood_of_higher(self):
-        # Full saturation: one account's urgent short work comes without a pause. Another account's
-        # long work keeps its share of the places here, so it is started in the engine too.
+    async def test_low_priority_is_not_starved_by_continuous_high_priority_requests(self):
+        # One account saturates the engine with short urgent requests. The long request of another
+        # account keeps its share of the sidecar's slots, so that it is started in the engine too.
         async with path_of(view_of(max_running=4, jury=100)) as path:
             await sidecar_of(path, batch_limit=2)
             callers = Callers(path)
 
-            async def flood(lane):
+            async def flood(worker):
                 number = 0
                 while "draft" not in callers.ended:
-                    await callers.ask(f"note-{lane}-{number}", "jury", 4)
+                    await callers.ask(f"note-{worker}-{number}", "jury", 4)
                     number += 1
 
             async with anyio.create_task_group() as group:
-                for lane in range(8):
-                    group.start_soon(flood, lane)
+                for worker in range(8):
+                    group.start_soon(flood, worker)
                 await eventually(lambda: len(callers.ended) > 8)
                 group.start_soon(callers.ask, "draft", "other", 40)
 
@@ -87,12 +87,12 @@
     @pytest.mark.parametrize(
         ("service", "account", "sent"),
         [
-            pytest.param("drafter", "jury", b"7", id="own value of the account"),
+            pytest.param("drafter", "jury", b"7", id="value of the account"),
             pytest.param("drafter", "other", b"0", id="value of the service"),
-            pytest.param("ledger", "jury", None, id="plain service is told nothing"),
+            pytest.param("ledger", "jury", None, id="plain service gets none"),
         ],
     )
-    async def test_engine_is_told_the_priority_in_force(self, service, account, sent):
+    async def test_engine_gets_the_priority_in_force(self, service, account, sent):
         async with path_of(view_of(jury=7)) as path:
             engine = ScriptedEngine()
             await path.sidecar(engine, service)
@@ -101,7 +101,7 @@
 
         assert engine.calls[0][2].get(b"x-priority") == sent
 
-    def test_account_inherits_the_service_and_overrides_it_for_itself(self):
+    def test_account_inherits_or_overrides_the_priority_of_the_service(self):
         data = {
             "priority": 1,
             "service": {"drafter": {"kind": "engine", "priority": 2}},
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -37,8 +37,8 @@
 DRAFTER = (Edit("service.drafter.kind", "engine"), Edit("service.drafter.models", ["drafter"]))
 
 
-class Desk:
-    """Operators at one log in virtual time."""
+class SessionFactory:
+    """Sessions of several operators on one log, in virtual time."""
 
     def __init__(self, **settings):
         self.now_s = 0.0
@@ -53,27 +53,27 @@
     async def sleep(self, seconds):
         self.now_s += seconds
 
-    def looked(self, name="asha", key=""):
+    def synced_session(self, name="asha", key=""):
         session = self.session(name, key)
-        now(session.look())
+        run_coroutine(session.look())
         return session
 
 
-def now(coroutine):
-    """Run a coroutine in which nothing waits."""
+def run_coroutine(coroutine):
+    """Run a coroutine that never suspends, and return its result."""
     with pytest.raises(StopIteration) as stopped:
         coroutine.send(None)
     return stopped.value.value
 
 
 class TestOperatorSession:
-    def test_of_two_racing_operators_one_is_told_who_won(self):
-        desk = Desk()
-        now(desk.looked().publish(DRAFTER))
-        asha, ravi = desk.looked("asha"), desk.looked("ravi")
+    def test_operator_who_loses_a_race_gets_the_conflicting_change(self):
+        factory = SessionFactory()
+        run_coroutine(factory.synced_session().publish(DRAFTER))
+        asha, ravi = factory.synced_session("asha"), factory.synced_session("ravi")
 
-        won = now(asha.publish((Edit("service.drafter.max_running", 16),)))
-        lost = now(ravi.publish((Edit("service.drafter.max_running", 24),)))
+        won = run_coroutine(asha.publish((Edit("service.drafter.max_running", 16),)))
+        lost = run_coroutine(ravi.publish((Edit("service.drafter.max_running", 24),)))
 
         assert isinstance(won, InForce)
         assert isinstance(lost, Lost)
@@ -86,71 +86,77 @@
         ids=["after", "before"],
     )
     @pytest.mark.parametrize("seed", range(5))
-    def test_a_lost_answer_is_looked_up_and_the_change_takes_effect_once(self, settings, seed):
-        desk = Desk(seed=seed, **settings)
+    def test_change_takes_effect_once_after_a_lost_response(self, settings, seed):
+        factory = SessionFactory(seed=seed, **settings)
 
-        answer = now(desk.looked().publish(DRAFTER))
+        answer = run_coroutine(factory.synced_session().publish(DRAFTER))
 
-        reader = desk.looked().reader
+        reader = factory.synced_session().reader
         accepted = [j for j in reader.history if type(j.verdict).__name__ == "Accepted"]
         assert isinstance(answer, InForce)
         assert [j.offset for j in accepted] == [answer.version]
 
-    def test_an_outage_gives_unknown_and_the_history_tells_later(self):
-        desk = Desk()
-        session = desk.looked()
-        desk.log.down = True
+    def test_outage_gives_unknown_and_the_id_is_looked_up_later(self):
+        factory = SessionFactory()
+        session = factory.synced_session()
+        factory.log.down = True
 
-        answer = now(session.publish(DRAFTER))
-        desk.log.down = False
-        later = desk.session()
-        now(later.replay())
+        answer = run_coroutine(session.publish(DRAFTER))
+        factory.log.down = False
+        later = factory.session()
+        run_coroutine(later.replay())
 
         assert isinstance(answer, Unknown)
         assert later.find(answer.change_id) is None
 
-    def test_what_is_not_valid_never_reaches_the_log(self):
-        desk = Desk()
+    def test_invalid_change_is_not_appended(self):
+        factory = SessionFactory()
 
-        answer = now(desk.looked().publish((*DRAFTER, Edit("service.drafter.max_running", 0))))
+        answer = run_coroutine(
+            factory.synced_session().publish((*DRAFTER, Edit("service.drafter.max_running", 0)))
+        )
 
         assert answer == Invalid(
             ("service.drafter.max_running: expected a whole number from 1 to 4096, got int 0",)
         )
-        assert desk.log.read(CHANGES_STREAM, 0, 1, 0.0).next_offset == 1
+        assert factory.log.read(CHANGES_STREAM, 0, 1, 0.0).next_offset == 1
 
-    @pytest.mark.parametrize(("key", "stands"), [("secret", True), ("guess", False)])
-    def test_an_operator_needs_the_key_in_the_tree(self, key, stands):
+    @pytest.mark.parametrize(("key", "is_accepted"), [("secret", True), ("guess", False)])
+    def test_operator_needs_the_key_in_the_tree(self, key, is_accepted):
         digest = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
-        desk = Desk()
+        factory = SessionFactory()
         rows = {"key_sha256": digest, "may_change": ["fleet"]}
-        now(desk.looked().publish(tuple(Edit(f"operator.asha.{f}", v) for f, v in rows.items())))
+        run_coroutine(
+            factory.synced_session().publish(
+                tuple(Edit(f"operator.asha.{f}", v) for f, v in rows.items())
+            )
+        )
 
-        answer = now(desk.looked(key=key).publish(DRAFTER))
+        answer = run_coroutine(factory.synced_session(key=key).publish(DRAFTER))
 
-        assert isinstance(answer, InForce) is stands
+        assert isinstance(answer, InForce) is is_accepted
 
-    def test_unset_of_a_scope_takes_all_below_it(self):
-        desk = Desk()
-        now(desk.looked().publish(DRAFTER))
-        session = desk.looked()
+    def test_unset_of_a_scope_unsets_all_paths_below_it(self):
+        factory = SessionFactory()
+        run_coroutine(factory.synced_session().publish(DRAFTER))
+        session = factory.synced_session()
 
-        now(session.publish(session.unset_edits("service.drafter")))
+        run_coroutine(session.publish(session.unset_edits("service.drafter")))
 
-        assert desk.looked().reader.tree.values() == {}
+        assert factory.synced_session().reader.tree.values() == {}
 
 
 class TestPublishSystem:
     CHANGE = Change("c", 0, "asha", DRAFTER)
 
-    def test_a_rate_limit_alone_ends_in_not_published(self):
+    def test_rate_limit_alone_ends_in_not_published(self):
         system = PublishSystem(self.CHANGE, 5.0, random.Random(0))
 
         system.take_append(AppendRefused("limit", 1.0), 0.0)
 
         assert system.next(5.0) == NotPublished("c", "limit")
 
-    def test_it_looks_before_it_appends_again(self):
+    def test_log_is_read_to_its_end_before_a_second_append(self):
         system = PublishSystem(self.CHANGE, 60.0, random.Random(0))
         system.take_append(AppendUnknown("lost"), 0.0)
 
@@ -160,7 +166,7 @@
         assert not isinstance(before, AppendNow)
         assert isinstance(system.next(5.0), AppendNow)
 
-    def test_taken_but_not_read_back_is_unknown(self):
+    def test_appended_change_that_is_not_read_back_is_unknown(self):
         system = PublishSystem(self.CHANGE, 5.0, random.Random(0))
 
         system.take_append(Appended(3), 0.0)
@@ -169,7 +175,7 @@
 
 
 class Fleet(threading.Thread):
-    """A log and a node with a reader, over HTTP, beside the command line under test."""
+    """HTTP servers for the commands under test: a log, a host list and a process with a reader."""
 
     def __init__(self):
         super().__init__(daemon=True)
@@ -198,7 +204,7 @@
 
 @pytest.fixture
 def beryl(tmp_path, monkeypatch, capsys):
-    """Run `beryl settings` with words and return exit code and output."""
+    """Return a function that runs `beryl settings` and returns its exit code and output."""
     fleet = Fleet()
     fleet.start()
     fleet.ready.wait(10)
@@ -209,8 +215,8 @@
         f'hosts_address = "http://{hosts}"\n'
     )
 
-    def run(command, *words):
-        argv = ["beryl", "settings", command, *words]
+    def run(command, *arguments):
+        argv = ["beryl", "settings", command, *arguments]
         argv += [] if command == "validate" else ["--config", str(config)]
         monkeypatch.setattr(sys, "argv", argv)
         with pytest.raises(SystemExit) as stopped:
@@ -227,7 +233,7 @@
 
 
 class TestCommands:
-    def test_a_setting_is_published_and_explained(self, beryl):
+    def test_setting_is_published_and_explained(self, beryl):
         code, out = beryl("set", "service.drafter.kind=engine", "deadline_s=20.0", "--json")
         accepted = json.loads(out)
 
@@ -236,7 +242,7 @@
         explained = beryl("explain", "service.drafter.deadline_s")[1]
         assert "fleet: 20.0, set by asha in version 1" in explained
 
-    def test_a_node_that_is_named_and_listed_too_is_counted_once(self, beryl, monkeypatch):
+    def test_process_in_both_file_and_host_list_is_counted_once(self, beryl, monkeypatch):
         monkeypatch.setattr("beryljunction.cli.settings_change._IN_FORCE_S", 0.0)
         node = beryl.fleet.servers[1].address
         row = HostRow("host-a", "drafter-0", "drafter", "ahd-a", "gj-west", node)
@@ -246,7 +252,7 @@
 
         assert (accepted["nodes"], accepted["missing"]) == (1, ["host-a"])
 
-    def test_the_tree_printed_is_the_tree_in_force(self, beryl):
+    def test_printed_tree_equals_the_tree_in_force(self, beryl):
         beryl("set", "service.drafter.kind=engine", 'service.drafter.models=["drafter"]')
         tree = beryl.directory / "tree.toml"
         tree.write_text(beryl("get")[1])
@@ -281,7 +287,7 @@
         assert code == 2
         assert out == ("service.drafter.kind: expected one of engine, plain, got str 'motor'\n")
 
-    def test_history_shows_a_lost_race_and_a_poison_record(self, beryl):
+    def test_history_has_refused_and_skipped_records(self, beryl):
         beryl("set", "deadline_s=5.0")
         late = Change("late", 0, "ravi", (Edit("deadline_s", 6.0),))
         for number, data in (("late", late.to_data()), ("poison", 7)):
@@ -294,7 +300,7 @@
         assert code == 0
         assert json.loads(one)["changes"][0]["conflicts"][0]["operator"] == "asha"
 
-    def test_unset_and_watch(self, beryl):
+    def test_unset_and_watch_commands(self, beryl):
         beryl("set", "deadline_s=5.0")
 
         assert beryl("unset", "deadline_s")[0] == 0
@@ -303,7 +309,7 @@
         assert beryl("watch", "--for-s", "0.01") == (0, "")
 
 
-def test_records_of_another_program_version_leave_the_history_readable():
+def test_record_of_a_newer_program_version_does_not_break_the_reader():
     reader = SettingsReader("")
     newer = Change("c", 0, "asha", (Edit("service.drafter.new_field", {"a": 1}),))
 
--- a/testing/test_reader.py
+++ b/testing/test_reader.py
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """A log and its readers in virtual time."""
+    """A log and its followers in virtual time."""
 
     def __init__(self, retention_s=80.0):
         self.now_s = 0.0
@@ -51,7 +51,7 @@
         )
 
     def step(self, follower):
-        """Take one step; nothing in it waits, so no event loop is needed."""
+        """Run one step; it never suspends, so no event loop is needed."""
         for step in (follower.step, follower.peer_step):
             with pytest.raises(StopIteration):
                 step().send(None)
@@ -68,7 +68,7 @@
 
 
 class TestSettingsReader:
-    def test_pages_that_are_late_doubled_or_overlap_change_nothing(self):
+    def test_late_repeated_or_overlapping_pages_have_no_effect(self):
         reader = SettingsReader("gj-west")
         records = tuple(LogRecord(i, f"c{i}", change(i, i - 1)) for i in (1, 2, 3))
 
@@ -78,7 +78,7 @@
         assert reader.version == 3
         assert reader.tree.values() == dict.fromkeys(reader.tree.values(), 3.0)
 
-    def test_nothing_is_applied_across_dropped_records(self):
+    def test_no_records_are_applied_across_a_gap(self):
         reader = SettingsReader("gj-west")
 
         reader.take_page(LogPage((LogRecord(5, "c5", change(5, 4)),), 5, 6))
@@ -87,7 +87,7 @@
         assert reader.needs_snapshot
         assert reader.alarms.gaps == 1
 
-    def test_an_older_snapshot_never_takes_a_setting_back(self):
+    def test_older_snapshot_never_reverts_a_setting(self):
         reader = SettingsReader("gj-west")
         reader.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
         old = reader.tree.to_data()
@@ -97,13 +97,13 @@
         assert reader.version == 2
 
     @pytest.mark.parametrize("data", [None, {}, {"kind": "snapshot", "version": 9, "leaves": [1]}])
-    def test_a_poison_snapshot_counts_and_is_passed_over(self, data):
+    def test_invalid_snapshot_is_counted_and_ignored(self, data):
         reader = SettingsReader("gj-west")
 
         assert not reader.take_snapshot(data)
         assert reader.alarms.poison_snapshots == 1
 
-    def test_another_tree_at_the_same_version_raises_the_alarm(self):
+    def test_different_tree_at_the_same_version_counts_as_a_fork(self):
         reader = SettingsReader("gj-west")
 
         reader.check_peer(0, reader.digest)
@@ -113,7 +113,7 @@
 
 
 class TestSettingsFollower:
-    def test_starts_from_a_snapshot_and_the_tail_when_the_beginning_is_gone(self):
+    def test_starts_from_a_snapshot_when_the_first_records_have_expired(self):
         fleet = Fleet()
         running = fleet.follower()
         fleet.publish(1, 0)
@@ -140,7 +140,7 @@
 
         assert late.reader.digest == running.reader.digest
 
-    def test_no_peer_is_met_while_the_log_answers(self):
+    def test_no_peer_is_polled_while_the_log_responds(self):
         fleet = Fleet()
         ahead = SettingsReader("gj-west")
         ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
@@ -152,7 +152,7 @@
 
         assert follower.reader.version == 0
 
-    def test_a_reader_paused_beyond_the_retention_jumps_over_the_gap_by_a_peer(self):
+    def test_reader_paused_beyond_the_retention_recovers_through_a_peer(self):
         fleet = Fleet(retention_s=10.0)
         running = fleet.follower()
         paused = fleet.follower(peer=running.reader)
@@ -167,23 +167,23 @@
         assert paused.reader.version == 3
         assert paused.reader.digest == running.reader.digest
 
-    def test_a_fleet_publishes_few_snapshots_and_never_runs_out_of_them(self):
+    def test_fleet_publishes_few_snapshots_and_always_has_one(self):
         fleet = Fleet()
         fleet.publish(1, 0)
         followers = [fleet.follower(seed=seed) for seed in range(20)]
-        ages = []
+        has_snapshot = []
         for second in range(1, 400):
             fleet.now_s = float(second)
             for follower in followers:
                 fleet.step(follower)
             page = fleet.log.read(SNAPSHOTS_STREAM, 0, 100, fleet.now_s)
-            ages.append(bool(page.records))
+            has_snapshot.append(bool(page.records))
 
         published = fleet.log.read(SNAPSHOTS_STREAM, 0, 100, fleet.now_s).next_offset - 1
-        assert all(ages[25:])
+        assert all(has_snapshot[25:])
         assert published <= 400 / 10
 
-    def test_a_peer_that_is_behind_is_handed_the_newer_tree(self):
+    def test_newer_tree_is_pushed_to_a_peer_that_lags(self):
         async def run():
             ahead, behind = SettingsReader("gj-west"), SettingsReader("gj-west")
             ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
@@ -202,7 +202,7 @@
 
         assert behind.digest == ahead.digest
 
-    def test_peers_answer_over_http_with_what_is_newer(self):
+    def test_peer_returns_a_newer_tree_over_http(self):
         async def run():
             ahead, behind = SettingsReader("gj-west"), SettingsReader("gj-west")
             ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
@@ -227,7 +227,7 @@
 
 
 class TestSnapshotSchedule:
-    def test_even_a_lone_node_publishes_with_half_of_the_retention_left(self):
+    def test_single_process_publishes_with_half_of_the_retention_left(self):
         schedule = SnapshotSchedule(80.0, random.Random(1), 0.0)
 
         due = [schedule.due(float(second)) for second in range(22)]
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -48,13 +48,13 @@
         ],
         ids=["default", "fleet", "region", "other-region", "service-over-region"],
     )
-    def test_the_strongest_scope_wins(self, data, expected_s):
+    def test_strongest_scope_wins(self, data, expected_s):
         view, unusable = resolve(tree({**DRAFTER, **data}), "gj-west")
 
         assert view.services["drafter"].deadline_s == expected_s
         assert unusable == []
 
-    def test_an_account_overrides_a_service_for_itself_alone(self):
+    def test_account_overrides_a_service_setting_only_for_itself(self):
         data = {"account": {"jury": {"key_sha256": "a" * 64, "deadline_s": 3.0}}}
 
         view, _ = resolve(tree({**DRAFTER, **data}), "gj-west")
@@ -62,7 +62,7 @@
         assert view.service_for("drafter", "jury").deadline_s == 3.0
         assert view.service_for("drafter", "other").deadline_s == 30.0
 
-    def test_a_value_of_a_newer_program_is_kept_and_a_weaker_scope_holds(self):
+    def test_unusable_value_is_kept_and_the_weaker_scope_is_used(self):
         data = {**DRAFTER, "max_running": 9, "service": {"drafter": {"kind": "engine"}}}
         newer = tree(data).preview(
             (Edit("service.drafter.max_running", "auto"), Edit("service.drafter.new_field", 1))
@@ -76,7 +76,7 @@
 
 
 class TestValidating:
-    def test_all_problems_come_at_once_with_path_expected_and_got(self):
+    def test_all_problems_have_path_expected_and_actual_value(self):
         data = {
             "service": {"drafter": {"kind": "motor", "deadline_s": "12", "max_runing": 3}},
             "account": {"jury": {"weight": -1.0}},
@@ -91,7 +91,7 @@
             "account.jury.weight: expected account.jury.key_sha256 to be set too, got none",
         ]
 
-    def test_values_that_are_fine_alone_have_to_fit_together(self):
+    def test_constraint_between_two_fields_is_checked(self):
         data = {**DRAFTER, "region": {"gj-west": {"max_running": 2}}}
 
         (problem,) = problems_of(tree(data))
@@ -100,7 +100,7 @@
             "region.gj-west: service.drafter.floor_running: expected at most max_running 2, got 4"
         )
 
-    def test_longest_body_has_to_fit_into_the_bound_over_all_bodies(self):
+    def test_longest_body_must_fit_into_the_limit_for_all_uploads(self):
         (problem,) = problems_of(tree({"limits": {"upload_bytes": 1_000_000}}))
 
         assert problem == (
@@ -109,7 +109,7 @@
 
 
 class TestSettingsTree:
-    def test_of_two_racing_edits_of_one_path_the_first_on_the_log_stands(self):
+    def test_first_of_two_concurrent_edits_of_one_path_is_accepted(self):
         fleet = tree(DRAFTER)
         first = record(1, 0, Edit("deadline_s", 5.0))
         second = record(2, 0, Edit("deadline_s", 6.0), operator="ravi")
@@ -122,7 +122,7 @@
             ("deadline_s", "asha", 5.0)
         ]
 
-    def test_edits_of_different_paths_both_stand(self):
+    def test_concurrent_edits_of_different_paths_are_both_accepted(self):
         fleet = tree(DRAFTER)
 
         verdicts = [
@@ -142,9 +142,9 @@
         ids=["floor-above-limit", "value-below-removed-service", "model-served-twice"],
     )
     @pytest.mark.parametrize("swapped", [False, True], ids=["in-order", "swapped"])
-    def test_two_valid_edits_that_break_a_rule_together_conflict(self, one, other, swapped):
-        # Both operators checked their edit against the same version and both were right. Applied
-        # one after the other the tree would be invalid everywhere, with nobody told.
+    def test_two_valid_edits_that_are_invalid_together_conflict(self, one, other, swapped):
+        # Each edit is valid against the version that its operator saw, but both together would make
+        # the tree invalid at every reader without any operator being told.
         fleet = tree(DRAFTER)
         first, second = (other, one) if swapped else (one, other)
 
@@ -152,7 +152,7 @@
 
         assert isinstance(fleet.apply(record(2, 0, second)), Refused)
 
-    def test_a_doubled_record_is_refused_by_its_own_first_copy(self):
+    def test_second_copy_of_a_record_conflicts_with_the_first(self):
         fleet = tree(DRAFTER)
         fleet.apply(record(1, 0, Edit("deadline_s", 5.0)))
         again = record(1, 0, Edit("deadline_s", 5.0))
@@ -164,14 +164,14 @@
         [None, 7, "x", [], {}, {"kind": "change"}, {"kind": "change", "edits": [{"path": ""}]}],
         ids=str,
     )
-    def test_a_poison_record_is_skipped_and_the_version_moves_on(self, data):
+    def test_invalid_record_is_skipped_and_the_version_advances(self, data):
         fleet = tree(DRAFTER)
 
         assert isinstance(fleet.apply(LogRecord(1, "x", data)), Skipped)
         assert fleet.version == 1
 
     @pytest.mark.parametrize(
-        ("operator", "path", "stands"),
+        ("operator", "path", "is_accepted"),
         [
             ("asha", "deadline_s", True),
             ("ravi", "service.drafter.deadline_s", True),
@@ -180,16 +180,16 @@
             ("nobody", "service.drafter.deadline_s", False),
         ],
     )
-    def test_operators_change_only_what_their_list_covers(self, operator, path, stands):
+    def test_operator_changes_only_the_scopes_in_may_change(self, operator, path, is_accepted):
         lists = {"asha": ["fleet"], "ravi": ["service.drafter"]}
         operators = {n: {"key_sha256": "b" * 64, "may_change": s} for n, s in lists.items()}
         fleet = tree({**DRAFTER, "operator": operators})
 
         verdict = fleet.apply(record(1, 0, Edit(path, 5.0), operator=operator))
 
-        assert isinstance(verdict, Accepted) is stands
+        assert isinstance(verdict, Accepted) is is_accepted
 
-    def test_edits_between_two_trees_turn_one_into_the_other(self):
+    def test_edits_between_two_trees_convert_one_to_the_other(self):
         old, new = ({**DRAFTER, **extra} for extra in ({"deadline_s": 5.0}, {"pointer_s": 9.0}))
 
         edits = edits_between(leaves_of(old)[0], leaves_of(new)[0])
