--- a/src/beryljunction/settings/reader.py
+++ b/src/beryljunction/settings/reader.py
@@ -28,8 +28,8 @@
         poison_records: Records that are not a valid change; every reader skips them.
         poison_snapshots: Snapshots that could not be decoded; another one is used.
         gaps: Times that the log had dropped records before this reader got them.
-        unusable_values: Values in force that this program version rejects, at present; the value
-            of a weaker scope is used instead.
+        unusable_values: Current number of values in force that this program version can't use; the
+            value of a weaker scope is used instead.
         forks: Peers with a different tree at the same version; must never happen.
     """
 
--- a/src/beryljunction/settings/rotation.py
+++ b/src/beryljunction/settings/rotation.py
@@ -7,9 +7,9 @@
 
 __all__ = ["PeerRotation"]
 
-# When the log is down and only one process has the newest version, all processes must get it
-# within the 5 s that operators are promised. Sidecars form a ring; entries poll the ring but are
-# not on it. An exchange goes both ways, so:
+# When the log is down and only one process has the newest version, the processes serve with
+# different settings until all have it. Operators are promised that this takes at most 5 s. Sidecars
+# form a ring; entries poll the ring but are not on it. An exchange goes both ways, so:
 #
 # * in each round, one of any two processes on the ring polls the other, so m processes need m // 2
 #   exchanges. An entry pushes its version with one exchange, and gets the newest with one more;
--- a/src/beryljunction/settings/tree.py
+++ b/src/beryljunction/settings/tree.py
@@ -127,7 +127,7 @@
                 return Refused(f"{edit.path}: operator {change.operator!r} may not change it")
         conflicts = self._conflicts(change)
         if conflicts:
-            return Refused("paths were changed since the base", conflicts)
+            return Refused("changed since the base", conflicts)
         self._write(change, record.offset)
         return Accepted(record.offset)
 
