--- a/src/beryljunction/settings/rotation.py
+++ b/src/beryljunction/settings/rotation.py
@@ -25,9 +25,9 @@
 
 @attrs.frozen
 class _Intervals:
-    """Interval between exchanges for rings of up to this many processes, in seconds."""
+    """Intervals between exchanges for rings of up to a number of processes."""
 
-    nodes: int
+    max_ring_size: int
     ring_s: float
     outside_s: float
 
@@ -68,9 +68,9 @@
     @staticmethod
     def pace_s(own: str, peers: Collection[str]) -> float:
         """Return the interval between two exchanges."""
-        nodes = len({*peers, own} - {""})
+        ring_size = len({*peers, own} - {""})
         for intervals in _BOUNDED_INTERVALS:
-            if nodes <= intervals.nodes:
+            if ring_size <= intervals.max_ring_size:
                 return intervals.ring_s if own else intervals.outside_s
         return _LARGE_RING_INTERVAL_S
 
