--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -105,7 +105,7 @@
         return self._deadline_s - boot_time_s()
 
     def _shared_parts(self) -> PromptParts:
-        """Return the prompt parts that other requests may share: not the last, unless it is alone."""
+        """Return the prompt parts that other requests may share: not the last one, unless alone."""
         ids, tokens = self._needs.prompt_parts, self._needs.prompt_tokens
         if len(ids) > 1:
             return PromptParts(ids[:-1], tokens[:-1], tokens[-1])
