--- a/src/beryljunction/gateway/crashreporter.py
+++ b/src/beryljunction/gateway/crashreporter.py
@@ -1,4 +1,4 @@
-"""Tells other entries of requests that end endpoints, and saves which are quarantined."""
+"""Reports requests that crash endpoints to other entries, and saves quarantines in the store."""
 
 import anyio
 import anyio.abc
@@ -11,16 +11,17 @@
 
 __all__ = ["CrashReporter"]
 
-# Pause after an entry did not answer: some of these fit in the seconds in which all have to know.
-_RETRY_S = 0.5
-# Entries that are told at the same time; each message is a few hundred bytes.
-_MOST_TOLD = 16
-_SAVE_PAUSE_S = 1.0
-_MOST_SAVES = 30
+# Pause after an entry did not answer; allows several attempts within the few seconds in which all
+# entries have to know of a quarantine.
+_RETRY_PAUSE_S = 0.5
+# Limit of concurrent messages; each is a few hundred bytes.
+_MAX_CONCURRENT_SENDS = 16
+_SAVE_RETRY_PAUSE_S = 1.0
+_MAX_SAVE_ATTEMPTS = 30
 
 
 class CrashReporter:
-    """Sends each entry what it lacks, until it has it or is given up."""
+    """Sends each entry its pending reports until it has received them or they expire."""
 
     def __init__(self, link: PeerLink, store: Store, state: EntryState) -> None:
         self._link = link
@@ -28,35 +29,35 @@
         self._state = state
         self._quarantine: Quarantine = state.quarantine
         self._busy: set[str] = set()
-        self._limiter = anyio.CapacityLimiter(_MOST_TOLD)
+        self._limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_SENDS)
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Send reports until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 await self._quarantine.untold.wait()
                 self.step(group)
 
     def step(self, group: anyio.abc.TaskGroup) -> None:
-        """Begin to tell those that lack something, and to save what is new."""
+        """Start sending to each entry with pending reports, and start saving new quarantines."""
         for host in self._quarantine.hosts_to_tell():
             if host not in self._busy:
                 self._busy.add(host)
-                group.start_soon(self._tell_all, host)
+                group.start_soon(self._send_all, host)
         for record in self._quarantine.unsaved_records():
             group.start_soon(self._save, record)
 
-    async def _tell_all(self, host: str) -> None:
+    async def _send_all(self, host: str) -> None:
         try:
             while (report := self._quarantine.report_for(host)) != CrashReport():
-                if await self._tell(host, report):
+                if await self._send(host, report):
                     self._quarantine.note_told(host, report)
                 else:
-                    await anyio.sleep(_RETRY_S)
+                    await anyio.sleep(_RETRY_PAUSE_S)
         finally:
             self._busy.discard(host)
 
-    async def _tell(self, host: str, report: CrashReport) -> bool:
+    async def _send(self, host: str, report: CrashReport) -> bool:
         address = self._state.fan_out.addresses().get(host)
         if address is None:
             return False
@@ -72,9 +73,9 @@
         return True
 
     async def _save(self, record: Record) -> None:
-        for _ in range(_MOST_SAVES):
+        for _ in range(_MAX_SAVE_ATTEMPTS):
             written = await self._store.put(ENTRY_ADDRESSES, record.key, record.value)
             if written is Written.DONE:
                 return
-            await anyio.sleep(_SAVE_PAUSE_S)
+            await anyio.sleep(_SAVE_RETRY_PAUSE_S)
         self._state.events.write("quarantine_not_saved", key=record.key)
--- a/src/beryljunction/gateway/crashreports.py
+++ b/src/beryljunction/gateway/crashreports.py
@@ -1,4 +1,4 @@
-"""Form of the message in which entries tell each other of requests that end endpoints."""
+"""Encoding of the message in which entries report requests that crash endpoints."""
 
 import json
 import math
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class CrashReport:
-    """What an entry tells another one.
+    """Crashes and quarantines, as one entry sends them to another.
 
     Attributes:
-        crashes: Endpoints that ended, each with a request that it had.
-        served: Digests of requests that were served after all.
-        quarantined: Digests of requests that may not be sent, with the seconds that are left.
+        crashes: Crashed endpoints, each with a request that it was running.
+        served: Digests of suspected requests that were served successfully later.
+        quarantined: Digests of quarantined requests, each with the seconds that are left.
     """
 
     crashes: tuple[Crash, ...] = ()
@@ -37,10 +37,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "CrashReport":
-        """Read it from JSON.
+        """Decode it from JSON.
 
         Raises:
-            ValueError: It is no message of this kind, or holds more than an entry tells at a time.
+            ValueError: The data is not a message of this kind, or it exceeds a size limit.
         """
         try:
             values = json.loads(data)
@@ -60,5 +60,5 @@
 def _quarantined(digest: Any, left_s: Any) -> tuple[str, float]:
     is_number = isinstance(left_s, int | float) and not isinstance(left_s, bool)
     if not is_number or not math.isfinite(left_s) or left_s < 0:
-        raise ValueError(f"expected the seconds of a quarantine, got {left_s!r}")
+        raise ValueError(f"expected 0 or more seconds of quarantine, got {left_s!r}")
     return read_text(digest), float(left_s)
--- a/src/beryljunction/gateway/endpointword.py
+++ b/src/beryljunction/gateway/endpointword.py
@@ -1,4 +1,4 @@
-"""Takes in what an endpoint says of itself in its answers."""
+"""Applies the load, leaving and Retry-After headers in the responses of an endpoint."""
 
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.exchangelog import ExchangeLog
@@ -10,7 +10,7 @@
 
 
 def note_word(endpoint: KnownEndpoint, head: Head, log: ExchangeLog) -> None:
-    """Take in the headers of an answer, whatever the answer is."""
+    """Update an endpoint's state from the headers of a response, regardless of its status."""
     now_s, status, endpoint_id = boot_time_s(), head.status, endpoint.record.endpoint_id
     load = load_of(head.headers)
     if load is not None:
--- a/src/beryljunction/gateway/known.py
+++ b/src/beryljunction/gateway/known.py
@@ -1,4 +1,4 @@
-"""What an entry knows from the store, and the form in which it tells it to another entry."""
+"""An entry's view of the store, and its encoding for another entry that asks for it."""
 
 import json
 from typing import Any
@@ -16,16 +16,16 @@
 
 @attrs.frozen
 class Known:
-    """What an entry has from the store.
+    """An entry's view of the store, sent as the answer to another entry.
 
     Attributes:
-        version: Version of its settings.
-        age_s: Age of its confirmation that they are the newest, when it answered.
-        endpoints_age_s: The same of the endpoints' records.
+        version: Version of the settings.
+        age_s: Seconds since the store confirmed the settings as the newest, when answering.
+        endpoints_age_s: Seconds since it confirmed the endpoint records as complete.
         evacuations: Availability zones under evacuation.
-        config: The settings as the operator wrote them; None where the asking entry has them.
-        offset: Position in the endpoints' records up to which they are taken in.
-        endpoints: The record of each endpoint; None where the asking entry has them.
+        config: The settings as the operator wrote them; None if the asking entry has them.
+        offset: Position up to which the endpoint records have been applied.
+        endpoints: The record of each endpoint; None if the asking entry has them.
     """
 
     version: int
@@ -37,7 +37,7 @@
     endpoints: tuple[Record, ...] | None
 
     def encode(self) -> bytes:
-        """Return it as JSON; records are bytes of the platform's, so each byte is a character."""
+        """Return it as JSON; records are arbitrary bytes, so each is written as Latin-1 text."""
         endpoints = None
         if self.endpoints is not None:
             endpoints = {row.key: (row.value or b"").decode("latin-1") for row in self.endpoints}
@@ -54,10 +54,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "Known":
-        """Read it from JSON.
+        """Decode it from JSON.
 
         Raises:
-            ValueError: It is no message of this kind.
+            ValueError: The data is not a message of this kind.
         """
         try:
             values = json.loads(data)
@@ -75,32 +75,32 @@
                 endpoints=rows,
             )
         except (KeyError, TypeError, AttributeError, UnicodeError) as error:
-            raise ValueError(f"expected what a peer knows, got {error!r}") from error
+            raise ValueError(f"expected the answer of /v1/known, got {error!r}") from error
 
 
 def _age(value: Any) -> float:
     age_s = float(value)
     if not 0.0 <= age_s < float("inf"):
         raise ValueError(f"expected an age of 0 s or more, got {value!r}")
-    # It was rounded to milliseconds; what was cut off must not make it younger.
+    # The sender rounded to milliseconds; add one so that rounding never makes the age smaller.
     return age_s + 0.001
 
 
 def zones_here(state: EntryState) -> ZoneUpdate:
-    """Return the availability zones under evacuation, as this entry knows them."""
+    """Return the availability zones that this entry treats as evacuated."""
     return ZoneUpdate(state.evacuations.position, tuple(state.evacuations.zones))
 
 
 def known_here(
     state: EntryState, endpoints: EndpointWatcher, version: int, offset: int
 ) -> Known | None:
-    """Return what this entry knows beyond what the asking one has; None before the first read.
+    """Return what this entry has and the asking one lacks; None before the first read.
 
     Args:
-        state: Settings and their age.
-        endpoints: Holder of the endpoints' records.
+        state: State of this entry.
+        endpoints: Watcher that holds the endpoint records.
         version: Version of the settings that the asking entry has.
-        offset: Position in the endpoints' records that it has.
+        offset: Position in the endpoint records that the asking entry has.
     """
     config = state.config
     now_s = boot_time_s()
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -1,4 +1,4 @@
-"""Follows the records that endpoints write of themselves."""
+"""Follows the records with which endpoints register themselves in the store."""
 
 import math
 from collections.abc import Iterable
@@ -20,7 +20,7 @@
     """Keeps the registry of endpoints up to date.
 
     Attributes:
-        is_known: Set once the store was read.
+        is_known: Set after the first successful read of the store.
     """
 
     def __init__(
@@ -29,74 +29,76 @@
         self._topic = TopicReader(store, state, ENDPOINT_RECORDS, state.endpoints_known)
         self._state = state
         self._schedule = schedule
-        self._behind_to = -1
+        self._announced_end = -1
         self._failures = 0
         self._values: dict[str, bytes] = {}
         self.is_known = anyio.Event()
 
     @property
     def offset(self) -> int | None:
-        """Position up to which records are taken in; None before the first read."""
+        """Position up to which records have been applied; None before the first read."""
         return self._topic.offset
 
     def records(self) -> tuple[Record, ...]:
-        """Return the record of each endpoint that has one, as the endpoint wrote it.
+        """Return the records of all endpoints that still have one, as the endpoints wrote them.
 
-        An endpoint that is kept without a record is left out: whoever took it for present would
-        never read that its record went away.
+        Endpoints that are kept although their record has expired are left out: an entry that
+        received one would never see the removal of its record.
         """
-        return tuple(Record(key, value) for key, value in self._values.items() if self._has(key))
+        return tuple(
+            Record(key, value) for key, value in self._values.items() if self._has_record(key)
+        )
 
-    def _has(self, endpoint_id: str) -> bool:
+    def _has_record(self, endpoint_id: str) -> bool:
         known = self._state.registry.find(endpoint_id)
         return known is not None and known.lapses_s is None
 
     def take_from_peer(self, offset: int, records: Iterable[Record]) -> None:
-        """Take in the full list of an entry that has read further."""
+        """Apply the full list of an entry that has read further."""
         self.apply_update(TopicUpdate(tuple(records), None, offset))
 
     def update_since(self, offset: int) -> TopicUpdate | None:
-        """Return what came after a position; None for nothing."""
+        """Return the changes after a position; None if there are none."""
         return self._topic.update_since(offset, self.records)
 
     def apply_update(self, update: TopicUpdate) -> None:
-        """Take in what another entry has read."""
-        self._topic.apply_update(update, self._replace, self._take_records)
+        """Apply records that another entry has read."""
+        self._topic.apply_update(update, self._apply_snapshot, self._apply_records)
 
     @property
     def known(self) -> Confirmation:
-        """As of when the records are complete here."""
+        """Time up to which the records are known to be complete."""
         return self._topic.known
 
     def confirm_to(self, end: int, asked_s: float, source: str) -> None:
-        """Note that another entry has the records up to a position, as of when it asked."""
+        """Record that another entry knew the records to end at a position when it asked."""
         self._topic.confirm_to(end, asked_s, source)
 
     def note_behind(self, end: int) -> None:
-        """Note that there are records up to a position, which have to be read."""
-        self._behind_to = max(self._behind_to, end)
+        """Record that there are records up to a position that have to be read from the store."""
+        self._announced_end = max(self._announced_end, end)
 
     @property
     def position(self) -> int:
-        """The same as a number; -1 before the first read."""
+        """Position up to which records have been applied; -1 before the first read."""
         return self._topic.position
 
-    def _age_s(self, now_s: float) -> float:
-        is_behind = self.position < self._behind_to
+    def _effective_age_s(self, now_s: float) -> float:
+        is_behind = self.position < self._announced_end
         return math.inf if is_behind else self.known.age_s(now_s)
 
     async def run(self) -> None:
-        """Follow until cancelled.
+        """Follow the records until cancelled.
 
-        A waiting read tells of a change at once. Where records come all the time, reads keep a
-        distance, so that their number does not grow with that of the endpoints.
+        A long poll returns a change at once. Under constant changes, reads keep a minimum interval,
+        so that their number does not grow with the number of endpoints.
         """
         while True:
             bound = self._state.endpoints_bound
-            await self._schedule.wait(ENDPOINT_RECORDS, bound, self._age_s)
+            await self._schedule.wait(ENDPOINT_RECORDS, bound, self._effective_age_s)
             if await paced(self.step, bound.read_interval_s, 0.0):
                 continue
-            # One lost answer says nothing of the store: only a second one is rested after.
+            # A single lost answer doesn't mean that the store is down; back off after the second.
             if self._failures > 1:
                 await rest_until_back(self._state.contact)
 
@@ -104,10 +106,10 @@
         """Read once."""
         bound = self._state.endpoints_bound
         wait_s = bound.until_confirm_s(boot_time_s()) if self._schedule.is_first else 0.0
-        # A store that is slow, or a thin link, gets the store's own, longer limit after a failure.
+        # After a failure, use the store client's longer timeout, for a slow store or link.
         timeout_s = None if self._failures else bound.answer_timeout_s
         done = await self._topic.step(
-            round(wait_s * 1000), self._replace, self._take_records, timeout_s
+            round(wait_s * 1000), self._apply_snapshot, self._apply_records, timeout_s
         )
         if done:
             self._failures = 0
@@ -116,7 +118,7 @@
             self._failures += 1
         return done
 
-    def _replace(self, records: Iterable[Record]) -> None:
+    def _apply_snapshot(self, records: Iterable[Record]) -> None:
         self._values = {row.key: row.value for row in records if row.value is not None}
         decoded = [decode_endpoint(key, value) for key, value in self._values.items()]
         for problem in decoded:
@@ -126,12 +128,12 @@
         self._state.registry.replace(usable, boot_time_s())
         self._state.events.write("endpoints_listed", endpoints=len(self._state.registry))
 
-    def _take_records(self, records: Iterable[Record]) -> None:
+    def _apply_records(self, records: Iterable[Record]) -> None:
         now_s = boot_time_s()
         for record in records:
-            self._take_one(record, now_s)
+            self._apply_record(record, now_s)
 
-    def _take_one(self, record: Record, now_s: float) -> None:
+    def _apply_record(self, record: Record, now_s: float) -> None:
         registry, events = self._state.registry, self._state.events
         if record.value is None:
             if registry.remove(record.key, now_s) is not None:
--- a/src/beryljunction/gateway/news.py
+++ b/src/beryljunction/gateway/news.py
@@ -1,4 +1,4 @@
-"""Form of the message in which entries tell each other of moved sessions and full endpoints."""
+"""Encoding of the message that informs entries of moved sessions and overloaded endpoints."""
 
 import json
 import math
@@ -11,21 +11,21 @@
 
 __all__ = ["News"]
 
-# More parts can't come from an entry of this fleet.
-_MOST_PARTS = 64
-# No endpoint has so many requests; a larger number would only distort the mean.
-_MOST_REQUESTS = 100_000
+# Limit of the parts of a session; no entry sends more.
+_MAX_PARTS = 64
+# No endpoint has this many requests; a larger number would only distort the mean.
+_MAX_REQUESTS = 100_000
 
 
 @attrs.frozen
 class News:
-    """What an entry tells another.
+    """Moved sessions and endpoint loads, as one entry sends them to another.
 
     Attributes:
-        host: Name of the host of the entry that tells.
-        life: Differs for each start of that entry.
-        moved: Sessions that are not where the other would look for them.
-        loads: Endpoints that are fuller than their peers.
+        host: Name of the sender's host.
+        life: Differs for each process start of the sender.
+        moved: Sessions that are not at the endpoint where the receiver expects them.
+        loads: Endpoints that have more load than their peers.
     """
 
     host: str
@@ -45,10 +45,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "News":
-        """Read it from JSON.
+        """Decode it from JSON.
 
         Raises:
-            ValueError: It is no message of this kind, or holds more than an entry tells at a time.
+            ValueError: The data is not a message of this kind, or it exceeds a size limit.
         """
         try:
             values = json.loads(data)
@@ -65,16 +65,16 @@
 
 
 def _decode_moved(endpoint_id: Any, born_ms: Any, *part_ids: Any) -> MovedSession:
-    if not 1 <= len(part_ids) <= _MOST_PARTS:
-        raise ValueError(f"expected 1 to {_MOST_PARTS} parts, got {len(part_ids)}")
+    if not 1 <= len(part_ids) <= _MAX_PARTS:
+        raise ValueError(f"expected 1 to {_MAX_PARTS} parts, got {len(part_ids)}")
     return MovedSession(
         tuple(read_text(part) for part in part_ids), read_start(endpoint_id, born_ms)
     )
 
 
 def _decode_load(endpoint_id: Any, born_ms: Any, requests: Any, age_s: Any) -> LoadNews:
-    if not isinstance(requests, int) or not 0 <= requests <= _MOST_REQUESTS:
-        raise ValueError(f"expected 0 to {_MOST_REQUESTS} requests, got {requests!r}")
+    if not isinstance(requests, int) or not 0 <= requests <= _MAX_REQUESTS:
+        raise ValueError(f"expected 0 to {_MAX_REQUESTS} requests, got {requests!r}")
     return LoadNews(read_start(endpoint_id, born_ms), requests, _age(age_s))
 
 
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Entries tell each other what the store has told them, with its age, and their news."""
+"""Requests between entries: settings with their age, session placements, and crash reports."""
 
 import abc
 from collections.abc import Callable
@@ -24,18 +24,18 @@
 _KNOWN_PATH = "/v1/known"
 _NEWS_PATH = "/v1/news"
 _CRASHES_PATH = "/v1/crashes"
-# Pause between questions, while they are needed: two fit between the age from which peers are asked
-# and that from which callers are sent elsewhere.
-_STEP_S = 0.5
-# A peer answers in a few ms, also from another zone; one that is dark never does.
-_ANSWER_S = 0.3
-# As many as there are peers in a zone today; others are opened when they are needed.
-_KEPT_CONNECTIONS = 8
-_NO_ANSWER = (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError)
+# Interval between requests to peers. Two of them fit between the age at which an entry starts to
+# ask peers and the age at which it stops being ready.
+_ASK_INTERVAL_S = 0.5
+# A peer answers within a few ms, even from another zone; an unreachable one never does.
+_ANSWER_TIMEOUT_S = 0.3
+# A zone has about as many peers; connections beyond that are opened on demand.
+_MAX_KEEPALIVE_CONNECTIONS = 8
+_TRANSPORT_ERRORS = (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError)
 
 
 class PeerHandler(CallerHandler):
-    """Answers other entries."""
+    """Serves the requests of other entries."""
 
     def __init__(
         self,
@@ -44,12 +44,12 @@
         peers: PeerTable,
         updates: UpdateReceiver | None = None,
     ) -> None:
-        self._takers: dict[str, Callable[[bytes], bytes]] = {
-            _NEWS_PATH: self._learn,
-            _CRASHES_PATH: self._take_crashes,
+        self._message_handlers: dict[str, Callable[[bytes], bytes]] = {
+            _NEWS_PATH: self._apply_news,
+            _CRASHES_PATH: self._apply_crashes,
         }
         if updates is not None:
-            self._takers[UPDATE_PATH] = updates.take
+            self._message_handlers[UPDATE_PATH] = updates.take
         self.limits = CallerLimits()
         self.leaving = False
         self._state = state
@@ -63,16 +63,16 @@
         """Do nothing."""
 
     def rejected(self, status: int, problem: str) -> None:
-        """Log what was no request."""
+        """Log a malformed request."""
         self._state.events.write("peer_rejected", status=status, problem=problem)
 
     def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
-        """Answer at once."""
-        take = self._takers.get(request.path)
-        if take is not None:
-            self._take(connection, request.body, take)
+        """Answer a request immediately."""
+        handle = self._message_handlers.get(request.path)
+        if handle is not None:
+            self._handle_message(connection, request.body, handle)
             return
-        asked = _read_question(request.target.decode("latin-1"))
+        asked = _parse_query(request.target.decode("latin-1"))
         if asked is None:
             connection.answer(404, [], b"")
             return
@@ -82,33 +82,33 @@
             return
         connection.answer(200, [(b"content-type", b"application/json")], known.encode())
 
-    def _take(
-        self, connection: CallerConnection, body: bytes, take: Callable[[bytes], bytes]
+    def _handle_message(
+        self, connection: CallerConnection, body: bytes, handle: Callable[[bytes], bytes]
     ) -> None:
-        """Take in a message, and answer what is to be said to it."""
+        """Handle a message and send the reply; answer 400 if the message is invalid."""
         try:
-            answer = take(body)
+            answer = handle(body)
         except ValueError as error:
             self._state.events.write("peer_rejected", status=400, problem=str(error))
             connection.answer(400, [], b"")
             return
         connection.answer(200, [], answer)
 
-    def _learn(self, body: bytes) -> bytes:
+    def _apply_news(self, body: bytes) -> bytes:
         news = News.decode(body)
         self._peers.greet(news.host, news.life)
         self._state.learn(news.moved, news.loads)
         return b""
 
-    def _take_crashes(self, body: bytes) -> bytes:
+    def _apply_crashes(self, body: bytes) -> bytes:
         return self._state.quarantine.take(CrashReport.decode(body)).encode()
 
 
-def _question(version: int, offset: int) -> str:
+def _format_query(version: int, offset: int) -> str:
     return f"{_KNOWN_PATH}/{version}/{offset}"
 
 
-def _read_question(target: str) -> tuple[int, int] | None:
+def _parse_query(target: str) -> tuple[int, int] | None:
     path, _, offset = target.rpartition("/")
     path, _, version = path.rpartition("/")
     if path != _KNOWN_PATH or not (version.isdecimal() and offset.isdecimal()):
@@ -117,71 +117,73 @@
 
 
 class PeerLink(abc.ABC):
-    """Asks another entry."""
+    """Sends requests to another entry."""
 
     @abc.abstractmethod
     async def ask(self, address: Address, version: int, offset: int) -> Known | str:
-        """Return what it knows beyond this version and offset, or why there is no answer."""
+        """Return what it has beyond this version and offset, or why there is no answer."""
 
     @abc.abstractmethod
     async def tell(self, address: Address, news: bytes) -> bool:
-        """Tell it news; False when it did not answer."""
+        """Send session placements and loads; return False if there was no answer."""
 
     @abc.abstractmethod
     async def report(self, address: Address, crashes: bytes) -> bytes | None:
-        """Tell it of requests that end endpoints.
+        """Report requests that crash endpoints.
 
         Returns:
-            Its report of which of them it keeps from being sent; None when it did not answer.
+            Its report of which of them it has in quarantine; None if there was no answer.
         """
 
 
 class HttpPeerLink(PeerLink):
-    """Speaks to other entries over HTTP.
+    """Sends requests to other entries over HTTP.
 
-    Questions are few, and go on a connection each, since an open one may be dead. What is told
-    goes on kept ones; what is lost on a dead one costs a warm prefix.
+    `ask` is rare and opens a connection each time, since an idle one may be dead. The other calls
+    use keep-alive connections; news that is lost on a dead one costs a prefix cache hit.
     """
 
     def __init__(self) -> None:
-        self._pool = httpcore.AsyncConnectionPool(max_keepalive_connections=_KEPT_CONNECTIONS)
+        self._pool = httpcore.AsyncConnectionPool(
+            max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
+        )
 
     async def tell(self, address: Address, news: bytes) -> bool:
-        """Tell it news; False when it did not answer."""
+        """Send session placements and loads; return False if there was no answer."""
         return await self._post(address, _NEWS_PATH, news) is not None
 
     async def report(self, address: Address, crashes: bytes) -> bytes | None:
-        """Tell it of requests that end endpoints; return its own report, None for no answer."""
+        """Report requests that crash endpoints; return its report, None if there was no answer."""
         return await self._post(address, _CRASHES_PATH, crashes)
 
     async def _post(self, address: Address, path: str, message: bytes) -> bytes | None:
         url = f"http://{address[0]}:{address[1]}{path}"
         try:
-            with anyio.fail_after(_ANSWER_S):
+            with anyio.fail_after(_ANSWER_TIMEOUT_S):
                 response = await self._pool.request("POST", url, content=message)
-        except (TimeoutError, *_NO_ANSWER):
+        except (TimeoutError, *_TRANSPORT_ERRORS):
             return None
         return response.content if response.status == 200 else None
 
     async def ask(self, address: Address, version: int, offset: int) -> Known | str:
-        """Return what it knows beyond this version and offset, or why there is no answer."""
-        url = f"http://{address[0]}:{address[1]}{_question(version, offset)}"
+        """Return what it has beyond this version and offset, or why there is no answer."""
+        url = f"http://{address[0]}:{address[1]}{_format_query(version, offset)}"
         try:
-            with anyio.fail_after(_ANSWER_S):
+            with anyio.fail_after(_ANSWER_TIMEOUT_S):
                 async with httpcore.AsyncConnectionPool() as pool:
                     response = await pool.request("GET", url, headers={"connection": "close"})
             if response.status != 200:
                 return f"expected status 200, got {response.status}"
             return Known.decode(response.content)
-        except (TimeoutError, ValueError, *_NO_ANSWER) as error:
+        except (TimeoutError, ValueError, *_TRANSPORT_ERRORS) as error:
             return f"{type(error).__name__} {error}".strip()
 
 
 class PeerConfirmation:
-    """Keeps the settings confirmed by way of other entries while the store is out of reach.
+    """Gets the settings confirmed by other entries while the store is unreachable.
 
-    The age is handed on with the settings, and counted from when the question was sent, so it never
-    gets younger on the way: entries that are all cut off can't keep each other's settings in force.
+    Peers send the age along with the settings, and it counts from when the request was sent, so it
+    never decreases. Entries that are all cut off thus can't keep each other's settings in force.
     """
 
     def __init__(
@@ -197,19 +199,19 @@
         self._config = config
         self._endpoints = endpoints
         self._peers = peers
-        self._is_helped = False
+        self._is_peer_confirmed = False
 
     async def run(self) -> None:
-        """Ask when it is needed, until cancelled."""
+        """Ask peers whenever necessary, until cancelled."""
         while True:
-            await anyio.sleep(_STEP_S)
+            await anyio.sleep(_ASK_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Ask one peer if the store seems to be out of reach, by this entry's own reads."""
+        """Ask one peer if this entry's confirmations are too old."""
         lease = self._state.lease
         if not needs_peers(self._config.age_s(boot_time_s()), lease.revocation_s):
-            self._note_help(self._config.told_by)
+            self._log_peer_confirmation(self._config.told_by)
             return
         chosen = self._peers.choose(boot_time_s())
         if chosen is None:
@@ -218,12 +220,12 @@
         asked_s = boot_time_s()
         version = self._state.config.version if self._state.config is not None else 0
         answer = await self._link.ask(address, version, self._endpoints.offset or 0)
-        has_helped = isinstance(answer, Known) and self._take(host, answer, asked_s)
-        self._peers.note(host, has_helped, boot_time_s())
-        self._note_help(host if has_helped else "")
+        has_confirmed = isinstance(answer, Known) and self._apply_known(host, answer, asked_s)
+        self._peers.note(host, has_confirmed, boot_time_s())
+        self._log_peer_confirmation(host if has_confirmed else "")
 
-    def _take(self, host: str, known: Known, asked_s: float) -> bool:
-        """Take in what a peer knows; True when it is in touch with the store itself."""
+    def _apply_known(self, host: str, known: Known, asked_s: float) -> bool:
+        """Apply a peer's answer; return whether the peer itself is in contact with the store."""
         self._state.contact.note_update(asked_s - known.age_s, None, boot_time_s())
         self._state.replace_evacuations(known.evacuations.zones, known.evacuations.position)
         if known.config is not None:
@@ -239,15 +241,15 @@
         self._state.news.set()
         return not needs_peers(known.age_s, lease.revocation_s)
 
-    def _note_help(self, host: str) -> None:
-        """Log when this entry begins to go on by another one's word, and when its reads work again.
+    def _log_peer_confirmation(self, host: str) -> None:
+        """Log when peers start confirming the settings, and when this entry's reads work again.
 
         Args:
-            host: The entry that has helped just now; empty for none.
+            host: The entry that confirmed them just now; empty if there was none.
         """
         is_turned_away = self._config.is_turned_away(boot_time_s())
-        is_helped = is_turned_away and (bool(host) or self._is_helped)
-        if is_helped != self._is_helped:
-            self._is_helped = is_helped
-            event = "settings_by_peer" if is_helped else "settings_by_peer_ended"
+        is_peer_confirmed = is_turned_away and (bool(host) or self._is_peer_confirmed)
+        if is_peer_confirmed != self._is_peer_confirmed:
+            self._is_peer_confirmed = is_peer_confirmed
+            event = "settings_by_peer" if is_peer_confirmed else "settings_by_peer_ended"
             self._state.events.write(event, peer=host)
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -1,4 +1,4 @@
-"""Sends what the store has told to other entries."""
+"""Pushes what this entry has read from the store to downstream entries."""
 
 import math
 
@@ -17,33 +17,33 @@
 
 __all__ = ["UpdatePublisher"]
 
-# Larger settings are read from the store by each entry: sent by one host to eight others, they fill
-# a thin link, which callers share.
-_MOST_CONFIG_BYTES = 4_096
-# The same for records of endpoints.
-_MOST_RECORDS_BYTES = 16_384
-# Confirmations of several kinds that come within this time go out in one message.
-_GATHER_S = 0.02
-# The other source of an entry sends it the records after this time, unless it has them by then.
-_SECOND_SOURCE_S = 0.1
-# One that did not answer is left out for this long: its other source goes on.
-_LEFT_OUT_S = 2.0
-# Expired records are waited for as long as this after the store's return.
-_REGAINED_TOLD_S = 2.0
+# Each entry reads larger settings from the store itself: one host sending them to eight others
+# would fill a slow link, which its callers share.
+_MAX_CONFIG_BYTES = 4_096
+# Each entry also reads larger changes of the endpoint records from the store itself.
+_MAX_RECORDS_BYTES = 16_384
+# Confirmations of several topics that arrive within this time are sent in one message.
+_BATCH_DELAY_S = 0.02
+# The second source of an entry waits this long before sending records that it still lacks.
+_SECOND_SOURCE_DELAY_S = 0.1
+# A subscriber that did not answer is skipped for this long; its other source continues.
+_UNANSWERED_PAUSE_S = 2.0
+# The return of the store is reported for this long: expired records may still be rewritten then.
+_REGAINED_ANNOUNCED_S = 2.0
 
 
 @attrs.frozen
-class _Known:
-    """How far an entry's knowledge goes.
+class _KnownPositions:
+    """Versions and positions that an entry has, and when the store confirmed them.
 
     Attributes:
         version: Version of the settings.
-        evacuations: Position in the operator's records, up to which zones are known.
-        endpoints: Position in the endpoints' records.
-        entries: Position in the entries' addresses.
-        confirmed_s: When the store was asked whether the settings are the newest.
-        endpoints_confirmed_s: The same of the endpoints' records.
-        entries_confirmed_s: The same of the entries' addresses.
+        evacuations: Position in the operator's records up to which zones are known.
+        endpoints: Position in the endpoint records.
+        entries: Position in the addresses of entries.
+        confirmed_s: When the store was asked for the newest settings.
+        endpoints_confirmed_s: When it was asked for the newest endpoint records.
+        entries_confirmed_s: When it was asked for the newest addresses of entries.
     """
 
     version: int = -1
@@ -54,8 +54,8 @@
     endpoints_confirmed_s: float = -math.inf
     entries_confirmed_s: float = -math.inf
 
-    def is_behind(self, other: "_Known") -> bool:
-        """Return whether the other one knows of a change that is not known here."""
+    def is_behind(self, other: "_KnownPositions") -> bool:
+        """Return whether the other one includes a change that this one lacks."""
         return (
             self.version < other.version
             or self.evacuations < other.evacuations
@@ -69,22 +69,23 @@
     """An entry that gets updates from this one.
 
     Attributes:
-        reply: Its last word; None before the first.
-        replied_s: When that was received.
-        acked: What it has received; what it could not use is sent again with the next confirmation.
-        lacks_records: Whether its last word shows that nobody has sent it the newest records.
+        reply: Its last reply; None before the first.
+        replied_s: When that reply was received.
+        acked: What it has received. What it could not apply is sent again with the next
+            confirmation.
+        lacks_records: Whether its last reply shows that it still lacks the newest records.
     """
 
     reply: Reply | None = None
     replied_s: float = 0.0
-    acked: _Known = _Known()
+    acked: _KnownPositions = _KnownPositions()
     lacks_records: bool = False
-    left_out_until_s: float = -math.inf
+    paused_until_s: float = -math.inf
     is_busy: bool = False
 
 
 class UpdatePublisher:
-    """Sends what this entry knows to its subscribers, as soon as there is something new."""
+    """Pushes settings, records and confirmations to downstream entries as soon as they change."""
 
     def __init__(
         self,
@@ -100,14 +101,14 @@
         self._subscribers: dict[str, _Subscriber] = {}
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Push updates until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 self.step(group)
                 await self._state.news.wait()
 
     def step(self, group: anyio.abc.TaskGroup) -> None:
-        """Begin to send to those that lack something."""
+        """Start sending to each subscriber that lacks something."""
         downstream = self._state.fan_out.downstream()
         self._subscribers = {
             host: self._subscribers.get(host) or _Subscriber() for host in downstream
@@ -115,45 +116,45 @@
         now_s = boot_time_s()
         for host, address in downstream.items():
             subscriber = self._subscribers[host]
-            is_left_out = subscriber.is_busy or subscriber.left_out_until_s > now_s
-            if not is_left_out and self._is_due(subscriber):
+            is_skipped = subscriber.is_busy or subscriber.paused_until_s > now_s
+            if not is_skipped and self._is_due(subscriber):
                 subscriber.is_busy = True
                 group.start_soon(self._send, host, address, subscriber)
 
     def _is_due(self, subscriber: _Subscriber) -> bool:
-        """Return whether there is a change for it, or a confirmation fresh enough for a message."""
-        state, known, acked = self._state, self._known(), subscriber.acked
-        fresher = (
+        """Return whether a subscriber lacks a change or is due for a newer confirmation."""
+        state, known, acked = self._state, self._known_positions(), subscriber.acked
+        confirmations = (
             (known.confirmed_s, acked.confirmed_s, state.settings_bound),
             (known.endpoints_confirmed_s, acked.endpoints_confirmed_s, state.endpoints_bound),
             (known.entries_confirmed_s, acked.entries_confirmed_s, state.addresses_bound),
         )
         return acked.is_behind(known) or any(
-            here_s > there_s + bound.publish_interval_s for here_s, there_s, bound in fresher
+            here_s > acked_s + bound.publish_interval_s for here_s, acked_s, bound in confirmations
         )
 
     async def _send(self, host: str, address: Address, subscriber: _Subscriber) -> None:
-        """Send to one subscriber until it lacks nothing."""
-        if not subscriber.acked.is_behind(self._known()):
-            await anyio.sleep(_GATHER_S)
+        """Send to a subscriber until it lacks nothing or stops answering."""
+        if not subscriber.acked.is_behind(self._known_positions()):
+            await anyio.sleep(_BATCH_DELAY_S)
         while self._is_due(subscriber):
             if not await self._send_once(host, address, subscriber):
-                subscriber.left_out_until_s = boot_time_s() + _LEFT_OUT_S
-                subscriber.reply, subscriber.acked = None, _Known()
+                subscriber.paused_until_s = boot_time_s() + _UNANSWERED_PAUSE_S
+                subscriber.reply, subscriber.acked = None, _KnownPositions()
                 self._state.events.write("update_unanswered", peer=host)
                 break
             if subscriber.lacks_records:
-                await anyio.sleep(_SECOND_SOURCE_S)
+                await anyio.sleep(_SECOND_SOURCE_DELAY_S)
         subscriber.is_busy = False
 
     async def _send_once(self, host: str, address: Address, subscriber: _Subscriber) -> bool:
-        """Send one update; False when there was no answer.
+        """Send one update; return False if there was no valid answer.
 
-        Records go out with the first message of its first source. The other one, which knows the
-        same, sends what the answer to a message without records shows to be missing.
+        The first source of a subscriber includes records in its messages. The second source sends
+        none at first, and adds them when the reply shows that the subscriber lacks some.
         """
         has_records = subscriber.lacks_records or self._state.fan_out.is_first_source_of(host)
-        known, update = self._known(), self._update(subscriber, has_records)
+        known, update = self._known_positions(), self._update(subscriber, has_records)
         answer = await self._link.update(address, update.encode())
         if answer is None:
             return False
@@ -163,9 +164,10 @@
             self._state.events.write("peer_rejected", status=200, problem=str(error))
             return False
         subscriber.replied_s = boot_time_s()
-        # Only what this start of the subscriber has received counts; the first message only asks.
+        # A reply from another process start of the subscriber acknowledges nothing. The first
+        # message only learns which start it is.
         is_same_start = subscriber.reply.life == update.life
-        subscriber.acked = known if is_same_start else _Known()
+        subscriber.acked = known if is_same_start else _KnownPositions()
         is_behind = (
             subscriber.reply.endpoints < known.endpoints or subscriber.reply.entries < known.entries
         )
@@ -178,10 +180,10 @@
             subscriber.acked = attrs.evolve(known, **positions)
         return True
 
-    def _known(self) -> _Known:
+    def _known_positions(self) -> _KnownPositions:
         state = self._state
         if state.config is None or self._endpoints.offset is None or self._entries.offset is None:
-            return _Known()
+            return _KnownPositions()
         offsets = self._endpoints.offset, self._entries.offset
         zones = state.evacuations.position
         times = (
@@ -189,27 +191,27 @@
             self._endpoints.known.asked_s,
             self._entries.known.asked_s,
         )
-        return _Known(state.config.version, zones, *offsets, *times)
+        return _KnownPositions(state.config.version, zones, *offsets, *times)
 
     def _update(self, subscriber: _Subscriber, has_records: bool) -> Update:
-        """Return what one entry lacks, by its last word; records only where they are to be sent."""
+        """Return what a subscriber lacks by its last reply; with records only if `has_records`."""
         state, reply = self._state, subscriber.reply
         host = state.host.host
         assert state.config is not None
         version = state.config.version
         if reply is None:
             return Update(host, "", 0.0, 0.0, None, version)
-        is_sent = reply.version < version and len(state.config_record) <= _MOST_CONFIG_BYTES
+        is_sent = reply.version < version and len(state.config_record) <= _MAX_CONFIG_BYTES
         regained_s = state.contact.regained_s
-        is_told = boot_time_s() - regained_s < _REGAINED_TOLD_S
+        is_announced = boot_time_s() - regained_s < _REGAINED_ANNOUNCED_S
         endpoints = self._endpoints.update_since(reply.endpoints) if has_records else None
-        is_cut_short = endpoints is not None and endpoints.size_bytes > _MOST_RECORDS_BYTES
+        is_cut_short = endpoints is not None and endpoints.size_bytes > _MAX_RECORDS_BYTES
         return Update(
             host,
             reply.life,
             reply.clock_s,
             state.lease.confirmed_s - subscriber.replied_s,
-            regained_s - subscriber.replied_s if is_told else None,
+            regained_s - subscriber.replied_s if is_announced else None,
             version,
             zones_here(state),
             _progress(self._endpoints.position, self._endpoints.known, subscriber.replied_s),
@@ -222,5 +224,5 @@
 
 
 def _progress(end: int, known: Confirmation, replied_s: float) -> Progress:
-    """Return how far records are known, as of a span from a subscriber's last word."""
+    """Return how far records are known, with the time relative to a subscriber's last reply."""
     return Progress(end, known.asked_s - replied_s if math.isfinite(known.asked_s) else None)
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end endpoints from being sent again, together with the other entries."""
+"""Quarantines requests that crash endpoints, in cooperation with the other entries."""
 
 import collections
 import math
@@ -14,11 +14,11 @@
 
 __all__ = ["Quarantine", "is_quarantine_key"]
 
-# Keys of the fleet's own topic: one for each quarantined request.
+# Prefix of the key of each quarantined request, in the topic of the entries' addresses.
 _KEY_PREFIX = "quarantine/"
-# An entry that has not answered for so long has ended, or reads the store when it is back.
-_PENDING_S = 30.0
-_MOST_ROWS = 64
+# Unsent rows are dropped after this time: the receiver has ended, or will read the store.
+_PENDING_TTL_S = 30.0
+_MAX_ROWS = 64
 
 
 @attrs.frozen
@@ -35,24 +35,24 @@
 
 
 def is_quarantine_key(key: str) -> bool:
-    """Return whether a key of the fleet's topic names a quarantined request."""
+    """Return whether a key of that topic names a quarantined request."""
     return key.startswith(_KEY_PREFIX)
 
 
 class Quarantine:
-    """What this entry knows of requests that end endpoints, and whom it still has to tell.
+    """Crash counts and quarantined requests of this entry, and what it has yet to send.
 
-    A request that ends each endpoint which runs it may come again at any entry, so no entry sees
-    enough of it alone. Each tells a few owners of the request, by its hash, which endpoint ended
-    under it. An owner that has counted enough tells all entries, and the store keeps it for those
-    that start later.
+    A request that crashes every endpoint which runs it may be repeated at any entry, so a single
+    entry may not see enough of its crashes. Each entry reports a crash to a few owners of the
+    request, which are chosen by its hash. An owner that has counted enough crashes informs all
+    entries and saves the quarantine in the store, for entries that start later.
 
     Attributes:
-        untold: Set when there is something to tell or to save.
+        untold: Set when there is something to send or to save.
 
     Args:
         host: Name of this entry's host.
-        fan_out: The entries that are listed.
+        fan_out: The known entries.
         events: The log.
     """
 
@@ -70,36 +70,37 @@
         return len(self._table.quarantined(boot_time_s()))
 
     def left_s(self, digest: str) -> float:
-        """Return how much longer a request may not be sent; 0 where it may."""
+        """Return how much longer a request stays in quarantine; 0 if it is not in quarantine."""
         return self._table.left_s(digest, boot_time_s())
 
     def note_crash(self, digest: str, endpoint: KnownEndpoint) -> None:
-        """Take in that an endpoint ended while it had a request of this entry."""
+        """Record that an endpoint crashed while it ran a request of this entry."""
         crash = Crash(digest, endpoint.start)
         self._events.write("endpoint_ended", digest=digest, endpoint=endpoint.record.endpoint_id)
         for host in self._owners(digest):
-            self._tell(host, crash)
-        self._count(crash)
+            self._enqueue(host, crash)
+        self._count_crash(crash)
 
     def note_served(self, digest: str) -> None:
-        """Take in that a request of this entry was served whole."""
+        """Record that a request of this entry was served completely."""
         if not self._table.note_served(digest, boot_time_s()):
             return
         for host in self._owners(digest):
-            self._withdraw(host, digest)
-            self._tell(host, _Served(digest))
+            self._discard_pending_crashes(host, digest)
+            self._enqueue(host, _Served(digest))
 
     def take(self, report: CrashReport) -> CrashReport:
-        """Take in what another entry tells; return which of its requests are in quarantine.
+        """Apply another entry's report; return which of the reported requests are in quarantine.
 
-        An entry that started a moment ago is not on every list, so nobody may have told it.
+        The answer is needed by an entry that has just started: it is not yet on every list, so it
+        may have missed the announcement.
         """
         for digest in report.served:
             self._table.acquit(digest)
         for digest, left_s in report.quarantined:
-            self._take_quarantined(digest, left_s)
+            self._apply_quarantine(digest, left_s)
         for crash in report.crashes:
-            self._count(crash)
+            self._count_crash(crash)
         digests = {crash.digest for crash in report.crashes}
         lefts_s = {digest: self.left_s(digest) for digest in digests}
         return CrashReport(
@@ -107,13 +108,13 @@
         )
 
     def report_for(self, host: str) -> CrashReport:
-        """Return what another entry is to be told next; an empty one for nothing."""
+        """Return the next report for another entry; an empty one if there is nothing to send."""
         now_s = boot_time_s()
         rows = self._pending.get(host, {})
         for row, noted_s in list(rows.items()):
-            if now_s - noted_s > _PENDING_S:
+            if now_s - noted_s > _PENDING_TTL_S:
                 del rows[row]
-        chosen = list(rows)[:_MOST_ROWS]
+        chosen = list(rows)[:_MAX_ROWS]
         digests = [row.digest for row in chosen if isinstance(row, _Quarantined)]
         return CrashReport(
             tuple(row for row in chosen if isinstance(row, Crash)),
@@ -122,7 +123,7 @@
         )
 
     def note_told(self, host: str, report: CrashReport) -> None:
-        """Take in that another entry has received a report."""
+        """Record that another entry has received a report."""
         rows = self._pending.get(host, {})
         told: list[_Row] = [*report.crashes]
         told += [_Served(digest) for digest in report.served]
@@ -131,7 +132,7 @@
             rows.pop(row, None)
 
     def hosts_to_tell(self) -> list[str]:
-        """Return the hosts of entries that have not been told all, and are still listed."""
+        """Return the hosts of known entries for which there is something to send."""
         for host in [host for host in self._pending if host not in self._fan_out]:
             del self._pending[host]
         return [host for host, rows in self._pending.items() if rows]
@@ -144,7 +145,7 @@
         return tuple(_record(digest, left_s) for digest, left_s in lefts_s.items())
 
     def take_record(self, record: Record) -> None:
-        """Take in a record of the store; its removal changes nothing here."""
+        """Apply a record of the store; its removal does not end a quarantine here."""
         if record.value is None:
             return
         try:
@@ -156,40 +157,40 @@
             return
         left_s = until_s - wall_time_s()
         if left_s > 0.0:
-            self._take_quarantined(record.key.removeprefix(_KEY_PREFIX), left_s)
+            self._apply_quarantine(record.key.removeprefix(_KEY_PREFIX), left_s)
 
     def unsaved_records(self) -> list[Record]:
-        """Return the records that the store has to get, each once."""
+        """Return the records to write to the store, each once."""
         digests, self._unsaved = self._unsaved, []
         now_s = boot_time_s()
         return [_record(digest, self._table.left_s(digest, now_s)) for digest in digests]
 
     def expired_keys(self) -> list[str]:
-        """Return the keys of requests whose quarantine is over, each once."""
+        """Return the keys of requests whose quarantine has expired, each once."""
         return [_KEY_PREFIX + digest for digest in self._table.expire(boot_time_s())]
 
     def _owners(self, digest: str) -> list[str]:
         return [host for host in owners_of(digest, self._fan_out.hosts) if host != self._host]
 
-    def _count(self, crash: Crash) -> None:
+    def _count_crash(self, crash: Crash) -> None:
         if not self._table.note_crash(crash, boot_time_s()):
             return
         self._events.write("request_quarantined", digest=crash.digest, endpoint=crash.start[0])
         self._unsaved.append(crash.digest)
         self.untold.set()
         for host in self._fan_out.addresses():
-            self._tell(host, _Quarantined(crash.digest))
+            self._enqueue(host, _Quarantined(crash.digest))
 
-    def _take_quarantined(self, digest: str, left_s: float) -> None:
+    def _apply_quarantine(self, digest: str, left_s: float) -> None:
         if self._table.quarantine(digest, left_s, boot_time_s()):
             self._events.write("request_quarantined", digest=digest, endpoint="")
 
-    def _tell(self, host: str, row: _Row) -> None:
+    def _enqueue(self, host: str, row: _Row) -> None:
         self._pending[host][row] = boot_time_s()
         self.untold.set()
 
-    def _withdraw(self, host: str, digest: str) -> None:
-        """Leave out crashes that were not told yet."""
+    def _discard_pending_crashes(self, host: str, digest: str) -> None:
+        """Drop the crashes of a request that have not been sent yet."""
         rows = self._pending[host]
         for row in [row for row in rows if isinstance(row, Crash) and row.digest == digest]:
             del rows[row]
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -1,4 +1,4 @@
-"""Applies what other entries have read from the store."""
+"""Applies the updates that upstream entries push to this one."""
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.following import ConfigWatcher
@@ -13,12 +13,12 @@
 class UpdateReceiver:
     """Applies the updates that other entries send.
 
-    A message may have waited in the socket of a paused host. It names the last reply of this start
-    of the entry, and its times are spans from then, so that old settings never look new and a
-    revoked key is not honoured.
+    A message may have waited in the socket buffer of a paused host. Its times are therefore
+    relative to the last reply of this process start, which it names. So old settings never look
+    new, and a revoked key is not accepted.
 
     Args:
-        life: Differs for each start of this entry.
+        life: Differs for each process start of this entry.
     """
 
     def __init__(
@@ -36,20 +36,22 @@
         self._life = life
 
     def take(self, message: bytes) -> bytes:
-        """Take in a message; return the answer.
+        """Apply a message and return the encoded reply.
 
         Raises:
-            ValueError: It is no message of an entry of this fleet.
+            ValueError: The message is malformed, or its sender is not a known entry.
         """
         update = Update.decode(message)
         if update.host not in self._state.fan_out:
             self._entries.doubt()
-            raise ValueError(f"expected an entry that is listed, got {update.host!r}")
+            raise ValueError(
+                f"expected an update from a listed entry, got one from {update.host!r}"
+            )
         if update.life == self._life:
-            self._take(update)
+            self._apply(update)
         return self._reply().encode()
 
-    def _take(self, update: Update) -> None:
+    def _apply(self, update: Update) -> None:
         asked_s = update.clock_s + update.confirmed_s
         regained_s = update.clock_s + (update.regained_s or 0.0)
         progress = (update.endpoints_progress, update.entries_progress)
@@ -57,7 +59,7 @@
         answered_s = update.clock_s + max(span_s for span_s in spans if span_s is not None)
         now_s = boot_time_s()
         if max(answered_s, regained_s) > now_s:
-            raise ValueError(f"expected times of the past, got {answered_s} s and {regained_s} s")
+            raise ValueError(f"expected times in the past, got {answered_s} s and {regained_s} s")
         is_return = update.regained_s is not None
         self._state.contact.note_update(answered_s, regained_s if is_return else None, now_s)
         evacuations = update.evacuations
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -1,4 +1,4 @@
-"""Tells the other entries where sessions are that moved, and which endpoints are full."""
+"""Informs the other entries of sessions that moved and of overloaded endpoints."""
 
 import anyio
 import attrs
@@ -11,18 +11,18 @@
 
 __all__ = ["ShareNews"]
 
-# One message each 0.125 s at most, to one peer after the other: at 500 bytes each that is the
-# 4 KB/s which control may cost an entry, whatever their number. With three peers each hears
-# within 0.4 s; sessions return after seconds.
-_STEP_S = 0.125
-# Moved sessions in one message, 45 bytes each. An entry moves one or two a second, more only for
-# the moments after endpoints were lost.
-_MOST_MOVED = 32
+# One message per 0.125 s at most, to the peers in turn. At 500 bytes each, that is the 4 KB/s which
+# an entry may spend on control traffic, regardless of the number of peers. Each of three peers gets
+# a message within 0.4 s; a session sends its next request after seconds.
+_SEND_INTERVAL_S = 0.125
+# Moved sessions in one message, 45 bytes each. An entry moves one or two per second, and more only
+# just after endpoints were lost.
+_MAX_MOVED_SESSIONS = 32
 
 
 @attrs.define
 class ShareNews:
-    """Sends each peer in turn what it has not heard."""
+    """Sends each peer in turn the news that it has not acknowledged."""
 
     _link: PeerLink
     _state: EntryState
@@ -30,18 +30,18 @@
     _life: str
 
     async def run(self) -> None:
-        """Tell peers until cancelled."""
+        """Send news to peers until cancelled."""
         while True:
-            await anyio.sleep(_STEP_S)
+            await anyio.sleep(_SEND_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Tell the next peer that has not heard all.
+        """Send one message to the next peer that lacks news.
 
-        Load: a peer is cut off for a while, or starts anew. Harm: sessions that moved meanwhile are
-        looked for at their homes there, and read again. What was not answered is told again, and
-        each message says which start of this entry it is of, so that a new one is told all. A first
-        one goes to each peer also when there is nothing to tell.
+        Unanswered news is sent again, since a peer that missed it would send moved sessions to
+        their default endpoints, which would prefill them again. Each message names the process
+        start of this entry, so that peers send everything to a restarted one; therefore each peer
+        gets a first message even if there is no news.
         """
         now_s = boot_time_s()
         rows = self._state.registry.rows if self._state.mechanisms.load_news else []
@@ -50,13 +50,13 @@
         for host, address in self._peers.in_turn():
             if not self._peers.may_answer(host, now_s):
                 continue
-            heard = self._peers.heard(host)
-            untold = moved.since(heard or 0)
-            if heard is not None and not untold and not loads:
+            acked = self._peers.heard(host)
+            unsent = moved.since(acked or 0)
+            if acked is not None and not unsent and not loads:
                 continue
-            told, end = untold[:_MOST_MOVED], moved.end - len(untold[_MOST_MOVED:])
+            sent, end = unsent[:_MAX_MOVED_SESSIONS], moved.end - len(unsent[_MAX_MOVED_SESSIONS:])
             self._peers.take_turn(host)
-            news = News(self._state.host.host, self._life, told, loads)
+            news = News(self._state.host.host, self._life, sent, loads)
             if await self._link.tell(address, news.encode()):
                 self._peers.note_told(host, end)
             else:
--- a/src/beryljunction/gateway/signals.py
+++ b/src/beryljunction/gateway/signals.py
@@ -1,4 +1,4 @@
-"""Wakes a task when something has changed."""
+"""An event that resets itself when a waiting task wakes up."""
 
 import anyio
 
@@ -6,16 +6,16 @@
 
 
 class Signal:
-    """An event that is ready to be waited for again at once."""
+    """Event that is cleared when `wait` returns, so that a loop can wait for it repeatedly."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
 
     def set(self) -> None:
-        """Wake the task that waits, or the next that will."""
+        """Wake the waiting task, or the next task that waits."""
         self._event.set()
 
     async def wait(self) -> None:
-        """Return once it was set since the last return."""
+        """Return once `set` has been called since `wait` last returned."""
         await self._event.wait()
         self._event = anyio.Event()
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -1,4 +1,4 @@
-"""What an entry knows: settings, endpoints, shares of second sends, and the decisions over them."""
+"""State of one entry: settings, endpoints, retry budgets, and the routing decisions on them."""
 
 import random
 from collections.abc import Collection, Iterable, Mapping
@@ -40,28 +40,28 @@
 
 __all__ = ["EntryState"]
 
-# An entry that starts is listed everywhere within this time. One that is not yet listed answers
-# callers all the same; it is told nothing by others, and reads the store for itself.
+# A starting entry is on the list of every other entry within this time. Until then it serves
+# callers, gets no updates from other entries and reads the store itself.
 _ADDRESSES_BOUND = AgeBound(40.0)
 
 
 class EntryState:
-    """Tables and systems of one entry.
+    """State and routing components of one entry.
 
     Attributes:
-        config: Settings in force; None before the first were read.
-        config_record: The same as the operator wrote them.
-        bounds: Promises of the deployment in force.
-        mechanisms: Which mechanisms of the decisions are on.
-        endpoints_known: As of when the records of endpoints are complete here.
-        addresses_known: The same of the addresses of entries.
-        contact: When the store last answered, and when it came back.
+        config: Settings in force; None before the first read.
+        config_record: The settings in force as the operator wrote them.
+        bounds: Limits that the deployment guarantees, as in force.
+        mechanisms: Which optional routing mechanisms are enabled.
+        endpoints_known: Time up to which the endpoint records are known to be complete.
+        addresses_known: Time up to which the addresses of entries are known to be complete.
+        contact: When the store last answered, and when it became reachable again.
         evacuations: Availability zones that get no new requests.
         cold: This entry's share of the requests to endpoints that are warming up.
-        fan_out: Which entries read the store, and who tells whom.
-        era: Times that the store was restored, as far as is known here.
-        quarantine: Requests that end the endpoints which run them.
-        news: Set when something came from the store.
+        fan_out: Which entries read the store, and which entry sends updates to which.
+        era: Highest restore count of the store that this entry has seen.
+        quarantine: Requests that crash the endpoints which run them.
+        news: Set when data or a confirmation has arrived from the store or from another entry.
     """
 
     def __init__(self, host: HostSettings, events: Events) -> None:
@@ -83,38 +83,38 @@
         self.news = Signal()
         self.random = random.Random()
         mechanisms = self.mechanisms = host.mechanisms
-        self._warm = WarmPlacement(mechanisms)
-        self._plain = PlainPlacement(host.availability_zone, self.random, mechanisms)
-        self._shares: dict[str, RetryShare] = {}
-        self._entries = 1
+        self._warm_placement = WarmPlacement(mechanisms)
+        self._plain_placement = PlainPlacement(host.availability_zone, self.random, mechanisms)
+        self._retry_shares: dict[str, RetryShare] = {}
+        self._max_entries_seen = 1
 
     def apply_bounds(self, bounds: HostBounds) -> None:
-        """Put other bounds of the deployment in force."""
+        """Replace the limits that the deployment guarantees."""
         if bounds == self.bounds:
             return
         self.bounds = bounds
         self.lease.revocation_s = bounds.revocation_ms / 1000
         self.cold.limit = _cold_limit(bounds)
-        self._shares.clear()
+        self._retry_shares.clear()
 
     @property
     def settings_bound(self) -> AgeBound:
-        """How long this entry may miss what the operator writes: settings and evacuations."""
+        """How old this entry's view of the operator's settings and evacuations may become."""
         in_force_s = min(self.bounds.apply_ms, self.bounds.evacuation_ms) / 1000
         return AgeBound(min(in_force_s, self.lease.ready_s))
 
     @property
     def endpoints_bound(self) -> AgeBound:
-        """How long this entry may miss that an endpoint leaves."""
+        """How old this entry's view of the endpoints may become."""
         return AgeBound(self.bounds.drain_ms / 1000)
 
     @property
     def addresses_bound(self) -> AgeBound:
-        """How long this entry may miss that another one has started."""
+        """How old this entry's list of other entries may become."""
         return _ADDRESSES_BOUND
 
     def apply(self, config: FleetConfig, record: bytes) -> bool:
-        """Put settings in force; never older ones than those that are."""
+        """Put settings in force unless their version is not newer; return whether it was."""
         if self.config is not None and config.version <= self.config.version:
             return False
         self.config = config
@@ -122,11 +122,11 @@
         return True
 
     def replace_evacuations(self, zones: Iterable[str], position: int) -> None:
-        """Take in all availability zones under evacuation, as of a position in the records."""
+        """Replace the set of evacuated availability zones, as of a position in the records."""
         self._note_zones(self.evacuations.replace(zones, position, boot_time_s()))
 
     def update_evacuations(self, states: Mapping[str, bool], position: int) -> None:
-        """Take in availability zones that were evacuated or taken back."""
+        """Apply which availability zones were evacuated or returned to service."""
         self._note_zones(self.evacuations.update(states, position, boot_time_s()))
 
     def _note_zones(self, changes: Collection[ZoneChange]) -> None:
@@ -137,31 +137,34 @@
             self.registry.evacuate(self.evacuations.zones, boot_time_s())
 
     def share(self, service: str) -> RetryShare:
-        """Return this entry's share of second sends to a service."""
-        share = self._shares.get(service)
+        """Return this entry's share of the retry budget of a service."""
+        share = self._retry_shares.get(service)
         if share is None:
             bounds = self.bounds
-            share = self._shares[service] = RetryShare(
-                bounds.repeat_ratio, bounds.repeat_window_s, bounds.repeat_slack, self._entries
+            share = self._retry_shares[service] = RetryShare(
+                bounds.repeat_ratio,
+                bounds.repeat_window_s,
+                bounds.repeat_slack,
+                self._max_entries_seen,
             )
         return share
 
     def note_entries(self) -> None:
-        """Take in the list of entries: how many may be alive, and which."""
+        """Update the budgets that are divided among the entries after their list has changed."""
         entries = len(self.fan_out)
         self.cold.note_entries(self.fan_out.hosts)
-        self._entries = max(self._entries, entries)
-        for share in self._shares.values():
+        self._max_entries_seen = max(self._max_entries_seen, entries)
+        for share in self._retry_shares.values():
             share.note_entries(entries)
 
     def repeats_left(self) -> float:
-        """Return the second sends left, over all services."""
-        return sum(share.left for share in self._shares.values())
+        """Return the number of retries left, summed over all services."""
+        return sum(share.left for share in self._retry_shares.values())
 
     def choose(
         self, service: str, demand: Demand, tried: set[KnownEndpoint]
     ) -> KnownEndpoint | None:
-        """Return the endpoint that is to get a request; sound ones go before doubtful ones."""
+        """Return the endpoint for a request; healthy ones are preferred to suspect ones."""
         now_s = boot_time_s()
         usable = [row for row in self.registry.usable(service, now_s) if row not in tried]
         allowed = self.cold.allowed(usable, self._known_service(service), now_s)
@@ -170,7 +173,7 @@
         return self._placement(service).choose(sound, attrs.evolve(demand, closed=closed), now_s)
 
     def may_send(self, service: str, endpoint: KnownEndpoint) -> str:
-        """Return why a request may not go to an endpoint at this moment; empty where it may."""
+        """Return why a request may not go to an endpoint now; empty if it may."""
         now_s = boot_time_s()
         if not self.registry.is_usable(endpoint):
             is_known = self.registry.find(endpoint.record.endpoint_id) is endpoint
@@ -181,7 +184,7 @@
         return "" if is_allowed else "endpoint is cold"
 
     def note_send(self, service: str, endpoint: KnownEndpoint) -> None:
-        """Count a request that goes to an endpoint now."""
+        """Count a request that is sent to an endpoint now."""
         self.cold.note_send(endpoint, self._known_service(service), boot_time_s())
 
     def why_none(self, service: str) -> str:
@@ -207,7 +210,7 @@
     def retry_after_s(
         self, service: str, tried: set[KnownEndpoint], left_s: float | None
     ) -> float | None:
-        """Return the pause that a refused caller is told; None for none."""
+        """Return the Retry-After value for a refused caller; None to send none."""
         if not self.mechanisms.retry_pauses:
             return None
         now_s = boot_time_s()
@@ -218,7 +221,7 @@
         return retry_after_s(rows, left_s, self.random, now_s, opens_in_s)
 
     def reading(self, service: str, chosen: KnownEndpoint, demand: Demand) -> Reading:
-        """Return what the chosen endpoint is to read, and from where it may fetch."""
+        """Return what the chosen endpoint has to prefill, and where it may fetch KV cache from."""
         now_s = boot_time_s()
         rows = self.registry.reachable(service, now_s)
         reading = self._placement(service).reading(rows, chosen, demand, now_s)
@@ -227,35 +230,37 @@
         return reading if can_fetch else attrs.evolve(reading, source=None)
 
     def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
-        """Take in how long an endpoint took to the first byte of its answer."""
+        """Record how long an endpoint took to send the first byte of its response."""
         self._placement(service).note_first(service, reading, took_ms)
 
     @property
     def moved(self) -> MovedSessions:
-        """Sessions that other entries would look for at another endpoint."""
-        return self._warm.moved
+        """Sessions that other entries would send to a different endpoint by default."""
+        return self._warm_placement.moved
 
     def joined(self, endpoint_id: str) -> None:
-        """Take in that an endpoint is new."""
-        self._warm.joined(endpoint_id, boot_time_s())
+        """Tell the placement that an endpoint has joined."""
+        self._warm_placement.joined(endpoint_id, boot_time_s())
 
     def learn(self, sessions: Iterable[MovedSession], loads: Iterable[LoadNews]) -> None:
-        """Take in where another entry has placed sessions, and which endpoints are full."""
+        """Apply another entry's session placements and its reports of overloaded endpoints."""
         now_s = boot_time_s()
         for session in sessions:
-            self._warm.learn(session, now_s)
+            self._warm_placement.learn(session, now_s)
         if self.mechanisms.load_news:
             hear_loads(self.registry.rows, loads, now_s)
 
     def _placement(self, service: str) -> Placement:
         known = self._known_service(service)
-        return self._warm if known is not None and known.is_engine else self._plain
+        return (
+            self._warm_placement if known is not None and known.is_engine else self._plain_placement
+        )
 
     def _known_service(self, service: str) -> Service | None:
         return self.config.services.get(service) if self.config is not None else None
 
     def is_ready(self) -> bool:
-        """Return whether callers can be served here."""
+        """Return whether this entry can serve callers."""
         is_known = self.config is not None and self.registry.is_loaded
         return is_known and self.lease.is_ready(boot_time_s())
 
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -1,4 +1,4 @@
-"""Reads a topic of the platform's store, and passes its records on to other entries."""
+"""Reads a topic of the platform's store and keeps recent records for other entries."""
 
 import collections
 from collections.abc import Awaitable, Callable, Iterable, Sequence
@@ -23,19 +23,19 @@
 
 __all__ = ["Take", "TopicReader", "paced", "rest_until_back"]
 
-# Longest rest of a reader that leaves it to another one to find out when the store is back.
-_LONGEST_REST_S = 2.0
-# Records kept for entries that go on by this one; one that lacks more gets the newest of each key.
-_MOST_RECENT = 256
+# Longest pause of a reader that relies on another reader to find out when the store is back.
+_MAX_PAUSE_S = 2.0
+# Records kept for downstream entries; one that lacks more gets the newest record of each key.
+_MAX_RECENT_RECORDS = 256
 
 Take = Callable[[Iterable[Record]], None]
 
 
 class TopicReader:
-    """Reads a topic from its newest records on, and again from there when its history is gone.
+    """Reads a snapshot of a topic, then its changes; starts over when the history has expired.
 
     Attributes:
-        known: As of when the records are complete here.
+        known: Time up to which the records are known to be complete.
 
     """
 
@@ -48,9 +48,9 @@
         self._topic = topic
         self._offset: int | None = None
         self._recent: collections.deque[Record] = collections.deque()
-        self._recent_from = 0
-        self._listed: int | None = None
-        self._is_lost = False
+        self._recent_start = 0
+        self._snapshot_end: int | None = None
+        self._is_store_lost = False
 
     async def step(
         self,
@@ -59,14 +59,14 @@
         take: Take,
         answer_timeout_s: float | None = None,
     ) -> bool:
-        """Read once; False when there was no usable answer.
+        """Read once; return False if there was no usable answer.
 
         Args:
-            wait_ms: How long the store may wait for a record.
-            take_all: Takes the newest record of each key.
-            take: Takes records that follow those known.
-            answer_timeout_s: Time for an answer to begin on top of that; None for the store's own
-                limit.
+            wait_ms: How long the store may hold the request until there is a record.
+            take_all: Called with the newest record of each key.
+            take: Called with the records that follow the known ones.
+            answer_timeout_s: Time for the response to begin after `wait_ms`; None for the store
+                client's own limit.
         """
         asked = self._offset
         asked_s = boot_time_s()
@@ -75,7 +75,7 @@
         else:
             answer = await self._read(asked, wait_ms, answer_timeout_s)
         if isinstance(answer, Unavailable):
-            self._note_lost(answer.reason)
+            self._log_store_lost(answer.reason)
             self.state.contact.note_failure()
             return False
         if isinstance(answer, Expired):
@@ -83,13 +83,13 @@
                 self.state.events.write("history_expired", topic=self._topic.name, offset=asked)
                 self._offset = None
             return await self.step(wait_ms, take_all, take, answer_timeout_s)
-        self._note_regained()
+        self._log_store_regained()
         now_s = boot_time_s()
         self.state.contact.note_answer(asked_s, now_s)
         if isinstance(answer, Newest):
-            self._replace(answer.records, answer.next_offset, take_all)
+            self._apply_snapshot(answer.records, answer.next_offset, take_all)
         elif isinstance(answer, Records):
-            self._add(answer.records, answer.next_offset, take)
+            self._append(answer.records, answer.next_offset, take)
         self.known.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
         self.state.news.set()
         return True
@@ -103,42 +103,42 @@
         answer = Unavailable(f"expected an answer within {answer_timeout_s:.2f} s")
         async with anyio.create_task_group() as group:
             limit_s = wait_ms / 1000 + answer_timeout_s
-            group.start_soon(self._give_up, group.cancel_scope, limit_s)
+            group.start_soon(self._cancel_if_unanswered, group.cancel_scope, limit_s)
             answer = await self._store.read(self._topic, offset, wait_ms)
             group.cancel_scope.cancel()
         return answer
 
-    async def _give_up(self, read: anyio.CancelScope, limit_s: float) -> None:
-        """End a read whose answer has not begun; many records on a thin link take longer."""
+    async def _cancel_if_unanswered(self, read: anyio.CancelScope, limit_s: float) -> None:
+        """Cancel a read unless its response has begun; a long one takes time on a slow link."""
         await anyio.sleep(limit_s)
         if not self._store.is_receiving(self._topic):
             read.cancel()
 
     def confirm_to(self, end: int, asked_s: float, source: str) -> None:
-        """Note that another entry has the records up to a position, as of when it asked.
+        """Record that another entry knew the records to end at a position when it asked.
 
-        Whoever lacks some of them is not confirmed: it has to get those first.
+        This changes nothing while this entry lacks some of those records.
         """
         if self.position >= end:
             self.known.confirm(asked_s, source)
 
-    def _replace(self, records: Iterable[Record], end: int, take_all: Take) -> None:
-        """Take in the newest record of each key, unless later ones are known."""
+    def _apply_snapshot(self, records: Iterable[Record], end: int, take_all: Take) -> None:
+        """Apply the newest record of each key, unless later records are known."""
         if self._offset is not None and end < self._offset:
             return
-        if self._listed is not None and era_of(end) > era_of(self._listed):
-            self._note_restored(era_of(self._listed), era_of(end))
+        if self._snapshot_end is not None and era_of(end) > era_of(self._snapshot_end):
+            self._note_restored(era_of(self._snapshot_end), era_of(end))
         self.state.era = max(self.state.era, era_of(end))
-        self._offset = self._recent_from = self._listed = end
+        self._offset = self._recent_start = self._snapshot_end = end
         self._recent.clear()
         take_all(records)
         self.state.news.set()
 
-    def _add(self, records: Sequence[Record], end: int, take: Take) -> None:
-        """Take in records that go on where the known ones end, or before that.
+    def _append(self, records: Sequence[Record], end: int, take: Take) -> None:
+        """Apply records that start at or before the known end.
 
-        What lies before the known end is left out: an answer that was overtaken by an update of
-        another entry would bring back an endpoint that is leaving.
+        Records before the known end are skipped: an answer that arrives after a newer update from
+        another entry would otherwise bring back an endpoint that is leaving.
         """
         known = max(0, (self._offset or 0) - (end - len(records)))
         new = records[known:]
@@ -146,77 +146,78 @@
             return
         self._offset = end
         self._recent.extend(new)
-        while len(self._recent) > _MOST_RECENT:
+        while len(self._recent) > _MAX_RECENT_RECORDS:
             self._recent.popleft()
-        self._recent_from = end - len(self._recent)
+        self._recent_start = end - len(self._recent)
         take(new)
         self.state.news.set()
 
     def update_since(
         self, offset: int, newest: Callable[[], tuple[Record, ...]]
     ) -> TopicUpdate | None:
-        """Return what came after a position: records, or the newest of each key; None for nothing.
+        """Return the records after a position, or the newest of each key; None if there are none.
 
         Args:
-            offset: The position; negative for none.
+            offset: The position; negative if no record is known.
             newest: Returns the newest record of each key.
         """
         end = self._offset
         if end is None or offset >= end:
             return None
-        if offset < self._recent_from:
+        if offset < self._recent_start:
             return TopicUpdate(newest(), None, end)
         first = len(self._recent) - (end - offset)
         return TopicUpdate(tuple(self._recent)[first:], offset, end)
 
     def apply_update(self, update: TopicUpdate, take_all: Take, take: Take) -> None:
-        """Take in what another entry has read, where it goes on from what is known here."""
+        """Apply records that another entry has read, unless records before them are missing."""
         if update.first is None:
             if self._offset is None or update.end > self._offset:
-                self._replace(update.records, update.end, take_all)
+                self._apply_snapshot(update.records, update.end, take_all)
         elif self._offset is not None and update.first <= self._offset:
-            self._add(update.records, update.end, take)
+            self._append(update.records, update.end, take)
 
     @property
     def offset(self) -> int | None:
-        """Position up to which records are taken in; None before the first read."""
+        """Position up to which records have been applied; None before the first read."""
         return self._offset
 
     @property
     def position(self) -> int:
-        """The same as a number; -1 before the first read."""
+        """Position up to which records have been applied; -1 before the first read."""
         return -1 if self._offset is None else self._offset
 
     def _note_restored(self, before: int, era: int) -> None:
-        """Take in that the store lost what was written since its copy was made."""
+        """Log and record that the store was restored from a backup and lost later records."""
         topic = self._topic.name
         self.state.events.write("store_restored", topic=topic, era_before=before, era=era)
         self.state.contact.note_restored(boot_time_s())
 
-    def _note_lost(self, reason: str) -> None:
-        if not self._is_lost:
+    def _log_store_lost(self, reason: str) -> None:
+        if not self._is_store_lost:
             self.state.events.write("store_lost", topic=self._topic.name, reason=reason)
-        self._is_lost = True
+        self._is_store_lost = True
 
-    def _note_regained(self) -> None:
-        if self._is_lost:
+    def _log_store_regained(self) -> None:
+        if self._is_store_lost:
             self.state.events.write("store_regained", topic=self._topic.name)
-        self._is_lost = False
+        self._is_store_lost = False
 
 
 def _complete_at_s(answer: Newest | Records, asked_s: float, now_s: float, wait_s: float) -> float:
-    """Return as of when nothing is missing after an answer.
+    """Return the time up to which the records are complete after an answer.
 
-    A read that came back empty was held by the store for the whole wait.
+    The store holds a read that returns nothing for the whole wait.
     """
     is_waited_out = isinstance(answer, Records) and not answer.records and now_s >= asked_s + wait_s
     return asked_s + wait_s if is_waited_out else asked_s
 
 
-async def rest_until_back(contact: StoreContact, longest_s: float = _LONGEST_REST_S) -> None:
-    """Rest after a failed read until another one was answered, or for a while.
+async def rest_until_back(contact: StoreContact, longest_s: float = _MAX_PAUSE_S) -> None:
+    """Pause after a failed read until another read succeeds, or for a limited time.
 
-    One read after the other finds out when the store is back; each refused call is paid for.
+    Readers that take turns are enough to find out when the store is back, and each refused call
+    costs money.
     """
     failed_s = boot_time_s()
     while contact.confirmed_s < failed_s and boot_time_s() - failed_s < longest_s:
@@ -228,7 +229,7 @@
     distance_s: float,
     failed_pause_s: float = FAILED_PAUSE_S,
 ) -> bool:
-    """Step once, and rest so that steps are at least this distance apart; False if it failed."""
+    """Run a step and sleep so that steps start at least `distance_s` apart; return its result."""
     started_s = boot_time_s()
     done = await step()
     rest_s = started_s + distance_s - boot_time_s() if done else failed_pause_s
--- a/src/beryljunction/gateway/updatelink.py
+++ b/src/beryljunction/gateway/updatelink.py
@@ -1,4 +1,4 @@
-"""Way of updates from one entry to another."""
+"""Transport for updates from one entry to another."""
 
 import abc
 
@@ -10,10 +10,10 @@
 __all__ = ["UPDATE_PATH", "HttpUpdateLink", "UpdateLink"]
 
 UPDATE_PATH = "/v1/update"
-# An entry answers in a few ms, also from another zone; one that is out of reach never does.
-_ANSWER_S = 0.3
-_CONNECTIONS = 12
-_NO_ANSWER = (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError)
+# An entry answers within a few ms, even from another zone; an unreachable one never does.
+_ANSWER_TIMEOUT_S = 0.3
+_MAX_KEEPALIVE_CONNECTIONS = 12
+_TRANSPORT_ERRORS = (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError)
 
 
 class UpdateLink(abc.ABC):
@@ -21,21 +21,23 @@
 
     @abc.abstractmethod
     async def update(self, address: Address, message: bytes) -> bytes | None:
-        """Return its answer; None for none."""
+        """Send a message and return the answer; None if there was none."""
 
 
 class HttpUpdateLink(UpdateLink):
-    """Speaks to other entries over HTTP, on connections that are kept."""
+    """Sends updates over HTTP on keep-alive connections."""
 
     def __init__(self) -> None:
-        self._pool = httpcore.AsyncConnectionPool(max_keepalive_connections=_CONNECTIONS)
+        self._pool = httpcore.AsyncConnectionPool(
+            max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
+        )
 
     async def update(self, address: Address, message: bytes) -> bytes | None:
-        """Return its answer; None for none. A connection that went silent is closed."""
+        """Send a message and return the answer; None, with the connection closed, on a timeout."""
         url = f"http://{address[0]}:{address[1]}{UPDATE_PATH}"
         try:
-            with anyio.fail_after(_ANSWER_S):
+            with anyio.fail_after(_ANSWER_TIMEOUT_S):
                 response = await self._pool.request("POST", url, content=message)
-        except (TimeoutError, *_NO_ANSWER):
+        except (TimeoutError, *_TRANSPORT_ERRORS):
             return None
         return response.content if response.status == 200 else None
--- a/src/beryljunction/gateway/updates.py
+++ b/src/beryljunction/gateway/updates.py
@@ -1,4 +1,4 @@
-"""Form of the messages in which entries pass on what the store has told them."""
+"""Encoding of the messages in which entries pass on what they have read from the store."""
 
 import json
 import math
@@ -11,23 +11,23 @@
 
 __all__ = ["Progress", "Reply", "TopicUpdate", "Update", "ZoneUpdate"]
 
-# Records of one message: more than a fleet has endpoints or entries is no message of this fleet.
-_MOST_RECORDS = 4_096
-_MOST_ZONES = 256
-# A span between two moments of one exchange; messages follow each other within seconds.
-_MOST_SPAN_S = 86_400.0
+# Limit of the records in one message; no fleet has more endpoints or entries.
+_MAX_RECORDS = 4_096
+_MAX_ZONES = 256
+# Limit of the time between two events of one exchange; messages normally follow within seconds.
+_MAX_SPAN_S = 86_400.0
 
 
 @attrs.frozen
 class Reply:
-    """What the entry that was told knows, and when it said so.
+    """Reply of the receiving entry: which versions and positions it has, and when it replied.
 
     Attributes:
-        life: Differs for each start of that entry.
-        clock_s: Its clock when it answered.
+        life: Differs for each process start of the receiver.
+        clock_s: The receiver's clock when it replied.
         version: Version of its settings.
-        endpoints: Position in the endpoints' records that it has; -1 for none.
-        entries: Position in the entries' addresses that it has; -1 for none.
+        endpoints: Position that it has in the endpoint records; -1 for none.
+        entries: Position that it has in the addresses of entries; -1 for none.
     """
 
     life: str
@@ -42,10 +42,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "Reply":
-        """Read it from JSON.
+        """Decode it from JSON.
 
         Raises:
-            ValueError: It is no message of this kind.
+            ValueError: The data is not a message of this kind.
         """
         try:
             life, clock_s, version, endpoints, entries = json.loads(data)
@@ -61,8 +61,9 @@
     """Records of a topic of the store.
 
     Attributes:
-        first: Position from which they are complete; None for the newest record of each key.
-        end: Position from which to read on.
+        first: Position from which the records are complete; None if they are the newest record of
+            each key.
+        end: Position after the last record, where the next read starts.
     """
 
     records: tuple[Record, ...]
@@ -71,7 +72,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Bytes of the records."""
+        """Size of all keys and values."""
         return sum(len(row.key) + len(row.value or b"") for row in self.records)
 
 
@@ -80,7 +81,7 @@
     """The availability zones under evacuation.
 
     Attributes:
-        position: Position in the operator's records up to which they are taken in.
+        position: Position in the operator's records up to which the zones are complete.
     """
 
     position: int
@@ -92,23 +93,23 @@
 
     @classmethod
     def decode(cls, values: Any) -> "ZoneUpdate":
-        """Read it from a part of a JSON message.
+        """Decode it from a part of a JSON message.
 
         Raises:
-            ValueError: It is no such part.
+            ValueError: The part is malformed.
         """
-        if not isinstance(values, list) or not 0 < len(values) <= _MOST_ZONES:
+        if not isinstance(values, list) or not 0 < len(values) <= _MAX_ZONES:
             raise ValueError(f"expected a list of zones, got {values!r:.80}")
         return cls(int(values[0]), tuple(read_text(zone) for zone in values[1:]))
 
 
 @attrs.frozen
 class Progress:
-    """How far an entry has the records of a topic.
+    """Position up to which an entry has the records of a topic.
 
     Attributes:
-        end: Position up to which it has them; -1 for none.
-        confirmed_s: When the store was asked whether that is all; None for never.
+        end: The position; -1 for none.
+        confirmed_s: When the store was asked whether there are more; None for never.
     """
 
     end: int = -1
@@ -120,10 +121,10 @@
 
     @classmethod
     def decode(cls, values: Any) -> "Progress":
-        """Read it from a part of a JSON message.
+        """Decode it from a part of a JSON message.
 
         Raises:
-            ValueError: It is no such part.
+            ValueError: The part is malformed.
         """
         end, confirmed_s = values
         return cls(int(end), None if confirmed_s is None else _span(confirmed_s))
@@ -131,27 +132,29 @@
 
 @attrs.frozen
 class Update:
-    """What an entry tells one below it.
+    """Update that an entry sends to a downstream entry.
 
-    Times are spans from the moment at which the one that is told said its clock, on the clock of
-    the one that tells. So a message that was long on its way, or met a paused process, does not
-    make anything look younger than it is.
+    Times are relative to when the sender received the receiver's last reply, measured on the
+    sender's clock. So a message that was delayed, or whose receiver was paused, does not make
+    anything look newer than it is.
 
     Attributes:
-        host: Name of the host of the entry that tells.
-        life: Start of the entry that is told, by its last word; empty before the first.
-        clock_s: Clock of the entry that is told, by its last word.
+        host: Name of the sender's host.
+        life: Process start of the receiver, from its last reply; empty before the first.
+        clock_s: Clock of the receiver, from its last reply.
         confirmed_s: When the store was asked whether these settings are the newest.
-        regained_s: When the store came back; None where it was not away.
+        regained_s: When the store became reachable again; None if that was not recent.
         version: Version of the settings.
         evacuations: Availability zones under evacuation.
-        endpoints_progress: How far the entry that tells has the endpoints' records.
-        entries_progress: How far it has the entries' addresses.
-        is_cut_short: Whether records of endpoints are missing here because they are too many: the
-            entry that is told reads them from the store.
-        config: The settings as the operator wrote them; None where they are not sent along.
-        endpoints: Records of endpoints that the other lacks; None for none.
-        entries: Addresses of entries that the other lacks; None for none.
+        endpoints_progress: How far the sender has the endpoint records.
+        entries_progress: How far the sender has the addresses of entries.
+        is_cut_short: Whether endpoint records were omitted because they are too large; the receiver
+            reads them from the store.
+        config: The settings as the operator wrote them; None if they are omitted.
+        endpoints: Endpoint records that the receiver lacks; None if there are none or they are
+            omitted.
+        entries: Addresses of entries that the receiver lacks; None if there are none or they are
+            omitted.
     """
 
     host: str
@@ -169,7 +172,7 @@
     entries: TopicUpdate | None = None
 
     def encode(self) -> bytes:
-        """Return it as JSON; records are bytes of the platform's, so each byte is a character."""
+        """Return it as JSON; records are arbitrary bytes, so each is written as Latin-1 text."""
         times = [self.clock_s, _round_down(self.confirmed_s), self.regained_s]
         config = None if self.config is None else self.config.decode("latin-1")
         topics = [_encode_topic(self.endpoints), _encode_topic(self.entries)]
@@ -180,10 +183,10 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "Update":
-        """Read it from JSON.
+        """Decode it from JSON.
 
         Raises:
-            ValueError: It is no message of this kind.
+            ValueError: The data is not a message of this kind.
         """
         try:
             host, life, *rest, config, endpoints, entries = json.loads(data)
@@ -222,8 +225,8 @@
     if values is None:
         return None
     first, end, rows = values
-    if not isinstance(rows, list) or len(rows) > _MOST_RECORDS:
-        raise ValueError(f"expected {_MOST_RECORDS} records at most")
+    if not isinstance(rows, list) or len(rows) > _MAX_RECORDS:
+        raise ValueError(f"expected a list of {_MAX_RECORDS} records at most, got {rows!r:.80}")
     records = tuple(
         Record(read_text(key), None if value is None else value.encode("latin-1"))
         for key, value in rows
@@ -238,12 +241,12 @@
 
 
 def _round_down(span_s: float) -> float:
-    """Return it in whole milliseconds; what is cut off must not make it younger."""
+    """Return a time in whole milliseconds, rounded down so that it never gets newer."""
     return math.floor(span_s * 1000) / 1000
 
 
 def _span(value: Any) -> float:
     span_s = _number(value)
-    if abs(span_s) > _MOST_SPAN_S:
-        raise ValueError(f"expected a span of {_MOST_SPAN_S:.0f} s at most, got {value!r}")
+    if abs(span_s) > _MAX_SPAN_S:
+        raise ValueError(f"expected a time span of {_MAX_SPAN_S:.0f} s at most, got {value!r}")
     return span_s
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -330,9 +330,9 @@
         announcing = Registration(NoStore(), entry.state, entry.table, ("127.0.0.1", 1))
         records = [Record(f"h{number}", b"127.0.0.1:9") for number in range(99)]
 
-        announcing._take_all(records)
+        announcing._apply_snapshot(records)
         before = entry.state.share("engine").left
-        announcing._take([Record("h99", b"127.0.0.1:9"), Record("h0", None)])
+        announcing._apply_changes([Record("h99", b"127.0.0.1:9"), Record("h0", None)])
 
         assert len(entry.table) == 64
         assert before == 54 / 100
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -382,6 +382,6 @@
         assert not self.holds()
 
     def test_own_record_that_is_not_written_again(self, monkeypatch):
-        monkeypatch.setattr(Registration, "_note_lost", lambda self, keys: None)
+        monkeypatch.setattr(Registration, "_find_lost_records", lambda self, keys: None)
 
         assert not self.holds()
