--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -30,7 +30,7 @@
 
 class TestKnown:
     @pytest.mark.parametrize("known", [KNOWN, attrs.evolve(KNOWN, config=None, endpoints=None)])
-    def test_any_bytes_come_back_and_the_age_does_not_get_less(self, known):
+    def test_round_trip_keeps_any_bytes_and_never_lowers_the_age(self, known):
         again = Known.decode(known.encode())
 
         assert attrs.evolve(again, age_s=0.5, endpoints_age_s=0.7) == known
@@ -48,23 +48,23 @@
             {"config": 4},
         ],
     )
-    def test_message_that_is_none_is_an_error(self, change):
+    def test_invalid_field_is_an_error(self, change):
         values = json.loads(KNOWN.encode()) | change
 
         with pytest.raises(ValueError):
             Known.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff"])
-    def test_bytes_that_are_none_are_an_error(self, data):
+    def test_malformed_message_is_an_error(self, data):
         with pytest.raises(ValueError):
             Known.decode(data)
 
 
-class TestNeed:
+class TestNeedsPeers:
     @pytest.mark.parametrize(
         ("age_s", "needs"), [(1.6, False), (2.0, True), (9.0, True), (float("inf"), False)]
     )
-    def test_peers_are_asked_once_the_store_seems_out_of_reach(self, age_s, needs):
+    def test_peers_are_asked_once_the_store_seems_unreachable(self, age_s, needs):
         assert needs_peers(age_s, 5.0) is needs
 
 
@@ -74,7 +74,7 @@
         table.replace({host: (host, 1) for host in hosts})
         return table
 
-    def test_the_one_that_helped_is_asked_again_until_it_does_not(self):
+    def test_peer_that_helped_is_preferred_until_it_fails(self):
         table = self.table("a", "b", "c")
         table.note("b", has_helped=True, now_s=0.0)
 
@@ -85,7 +85,7 @@
         assert "b" not in {table.choose(1.0)[0] for _ in range(40)}
         assert "b" in {table.choose(3.0)[0] for _ in range(40)}
 
-    def test_nobody_is_asked_when_all_are_passed_over_or_gone(self):
+    def test_no_peer_is_chosen_when_all_are_skipped_or_removed(self):
         table = self.table("a")
         table.note("a", has_helped=False, now_s=0.0)
 
@@ -95,10 +95,11 @@
 
         assert table.choose(9.0) is None
 
-    def test_one_that_missed_a_message_is_still_asked(self):
-        """A busy peer misses one message, and then the store turns this entry away.
+    def test_peer_that_missed_a_message_is_still_asked(self):
+        """Guards against skipping the only peer because it missed one message.
 
-        With no other peer to ask, its callers would be refused for the next two seconds.
+        A busy peer misses a message, and then the store rejects this entry. With no other peer to
+        ask, the entry would refuse its callers for the next two seconds.
         """
         table = self.table("a")
         table.note_silent("a", now_s=0.0)
@@ -106,7 +107,7 @@
         assert not table.may_answer("a", 1.0)
         assert table.choose(1.0)[0] == "a"
 
-    def test_entries_that_wrote_longest_ago_yield(self):
+    def test_oldest_entries_are_dropped_when_the_table_is_full(self):
         table = self.table(*(f"h{number}" for number in range(70)))
 
         assert len(table) == 64
@@ -125,7 +126,7 @@
 
 
 class Entry(PeerLink):
-    """An entry without sockets that has read the settings at time 0 and is cut off since."""
+    """An entry without sockets that read the settings at time 0 and has been cut off since."""
 
     def __init__(self, name, lines):
         host = HostSettings(name, "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
@@ -139,7 +140,7 @@
         self.table = PeerTable(random.Random(1))
         self.table.put("other", ("other", 1))
 
-    def asks(self, other):
+    def ask_peer(self, other):
         self.other = other
         self.peers = PeerConfirmation(self, self.state, self.config, self.endpoints, self.table)
 
@@ -156,17 +157,17 @@
 
 class TestAge:
     def test_entries_that_are_all_cut_off_do_not_keep_settings_in_force(self, monkeypatch):
-        """No entry reaches the store, and each asks the other, again and again.
+        """Guards against entries that renew each other's settings without the store.
 
-        If the age got lost on the way, a key that was taken away would be honoured without end. It
-        is handed on and only grows, so both stop honouring keys at the bound.
+        No entry reaches the store, and each keeps asking the other. If an answer lost its age, a
+        revoked key would be accepted forever.
         """
         now = [0.0]
         for module in (peers, known, following, state):
             monkeypatch.setattr(module, "boot_time_s", lambda: now[0])
         one, two = Entry("one", Lines()), Entry("two", Lines())
-        one.asks(two)
-        two.asks(one)
+        one.ask_peer(two)
+        two.ask_peer(one)
 
         async def run():
             ages = []
@@ -181,14 +182,14 @@
         assert not one.state.lease.allows_keys(5.0)
 
     def test_settings_that_are_older_than_the_peers_are_not_confirmed(self, monkeypatch):
-        """A peer tells of a newer version, which can't be read here; its age is of that version."""
+        """A peer has a newer version that can't be decoded here; its age is that version's."""
         for module in (peers, known):
             monkeypatch.setattr(module, "boot_time_s", lambda: 3.0)
         one, two = Entry("one", Lines()), Entry("two", Lines())
         two.config.take_from_peer(CONFIG.replace(b"3", b"8"))
         two.state.lease.confirm(2.9)
         two.state.config_record = b"unreadable"
-        one.asks(two)
+        one.ask_peer(two)
 
         anyio.run(one.peers.step)
 
@@ -198,7 +199,7 @@
 
 @attrs.define
 class Pair:
-    """A world with a second entry, whose store is the same with faults of its own."""
+    """A world with a second entry, which uses the same store with separate faults."""
 
     world: object
     store: PlatformStoreStandIn
@@ -231,22 +232,22 @@
         world.group.start_soon(process.run)
     pair = Pair(world, store, host)
 
-    async def knows_its_peer():
+    async def are_registered():
         rows = world.store.model.newest("keyed.entries", "", 0.0)[0]
         return len(rows) == 2
 
-    await world.until(knows_its_peer)
+    await world.until(are_registered)
     await anyio.sleep(0.3)
     return pair
 
 
 class TestCutOff:
     @pytest.mark.parametrize("fault", ["busy", "silent"])
-    def test_callers_are_served_while_the_store_turns_one_host_away(self, fault):
-        """The store turns one host away for longer than settings may be old; others reach it.
+    def test_callers_are_served_while_the_store_rejects_one_host(self, fault):
+        """Guards against refusing callers while the store rejects just this host.
 
-        Its callers were refused, or moved to another host and came late. It asks a peer instead,
-        which tells it of a new endpoint and a new route, too.
+        The outage lasts longer than the settings' maximum age. The entry asks a peer, from which
+        it also gets a new endpoint and a new route.
         """
 
         async def run():
@@ -264,7 +265,7 @@
                 async def is_logged():
                     return world.lines.of("settings_by_peer")
 
-                # A waiting read that the store leaves without an answer ends 11 s after it began.
+                # A long poll that the store never answers ends 11 s after it began.
                 await world.until(is_logged)
                 return before, after, world.lines.of("settings_by_peer")
 
@@ -273,11 +274,11 @@
         assert (before, after) == (200, 200)
         assert len(lines) == 1
 
-    def test_key_taken_away_meanwhile_is_refused(self):
-        """A host that is turned away goes on by its peer's word, and a key is taken away.
+    def test_key_revoked_meanwhile_is_refused(self):
+        """Guards against accepting a revoked key while the store rejects this host.
 
-        The peer knows of it at once, and tells it with its next answer; nothing is sent for that
-        key later than the bound.
+        The peer learns of the revocation at once and includes it in its next answer, so no request
+        with that key is sent after the limit.
         """
 
         async def run():
@@ -293,8 +294,8 @@
 
         assert anyio.run(run) == (401, 0)
 
-    def test_address_for_peers_that_is_taken_costs_only_their_help(self):
-        """Another process has the port; callers must not go without a host for that."""
+    def test_peer_address_in_use_does_not_stop_the_entry(self):
+        """Another process has the port for peers; the entry must serve callers all the same."""
 
         async def run():
             async with open_world(route()) as world:
@@ -319,10 +320,10 @@
 
 
 class TestFleetSize:
-    def test_allowance_is_shared_by_more_entries_than_are_kept_as_peers(self):
-        """A fleet of a hundred entries; each keeps the addresses of some of them.
+    def test_retry_budget_is_divided_among_all_entries_not_just_peers(self):
+        """Guards against dividing the retry budget among only the peers that an entry keeps.
 
-        Were the allowance of second sends shared by those, the sum would pass that of the fleet.
+        In a fleet of a hundred entries, the sum of the shares would exceed the fleet's budget.
         """
         entry = Entry("e", Lines())
         bounds = attrs.evolve(entry.state.bounds, repeat_slack=54)
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -17,15 +17,15 @@
     return state
 
 
-class TestSending:
-    """A request looks at evacuations once more at the moment at which it is sent."""
+class TestMaySend:
+    """A request checks evacuations again at the time it is sent."""
 
-    def test_open_endpoint_may_get_it(self):
+    def test_usable_endpoint_is_allowed(self):
         state = state_of(endpoint("e1"))
 
         assert state.may_send("engine", state.registry.find("e1")) == ""
 
-    def test_zone_evacuated_meanwhile(self):
+    def test_zone_evacuated_after_the_choice_is_refused(self):
         state = state_of(endpoint("e1"))
         chosen = state.registry.find("e1")
 
@@ -34,7 +34,7 @@
         assert state.may_send("engine", chosen) == "zone is evacuated"
         assert state.why_none("engine") == "zones_evacuated"
 
-    def test_endpoint_that_left_meanwhile(self):
+    def test_endpoint_removed_after_the_choice_is_refused(self):
         state = state_of(endpoint("e1"))
         chosen = state.registry.find("e1")
 
@@ -45,7 +45,7 @@
 
 
 class TestZones:
-    def test_each_change_is_one_line(self):
+    def test_each_change_is_logged_once(self):
         state = state_of(endpoint("e1"))
 
         state.replace_evacuations(["a"], 5)
@@ -56,7 +56,7 @@
         assert len(state.events.writer.of("zone_returned")) == 1
 
     @pytest.mark.parametrize("zones", [["a"], ["a", "b"], ["nowhere"]])
-    def test_taken_back_is_as_before(self, zones):
+    def test_ended_evacuation_restores_all_endpoints(self, zones):
         state = state_of(endpoint("e1"), endpoint("e2", availability_zone="b"))
 
         state.replace_evacuations(zones, 5)
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -23,7 +23,7 @@
 
 
 class TestSettings:
-    def test_change_is_in_force_at_once(self):
+    def test_change_takes_effect_at_once(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -38,7 +38,7 @@
     @pytest.mark.parametrize(
         "value", [b"\xff\x00", b"[]", b'{"version": 9}', b'{"version": "x", "routes": []}']
     )
-    def test_settings_that_cannot_be_used_leave_the_last_good_ones_in_force(self, value):
+    def test_invalid_settings_leave_the_last_valid_ones_in_force(self, value):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -53,10 +53,10 @@
         assert len(lines) == 1
         assert "expected" in lines[0]
 
-    def test_nothing_older_is_ever_applied(self):
-        """The store's history is rewound, and an older version is the newest record for a while.
+    def test_older_version_is_never_applied(self):
+        """Guards against answering 404 for a route that was served before.
 
-        A process that followed it would answer 404 for a route that it has served.
+        The store's history is rewound, and an older version is the newest record for a while.
         """
 
         async def run():
@@ -72,11 +72,12 @@
 
         assert anyio.run(run) == 200
 
-    def test_old_version_behind_a_new_one_does_not_hide_it(self):
-        """A key is taken away, and the version before comes once more in the same read.
+    def test_old_version_after_a_new_one_does_not_hide_it(self):
+        """Guards against applying only the last record of a read.
 
-        Found by the fuzz: only the last record was looked at, so the newer version was passed over,
-        and the key was honoured while every read confirmed the settings.
+        A key is revoked, and the previous version follows in the same read. A fuzz test found that
+        the newer version was skipped, so the key was accepted while every read confirmed the
+        settings.
         """
 
         async def run():
@@ -94,7 +95,7 @@
 
         assert anyio.run(run) == 401
 
-    def test_expired_history_is_read_again_from_the_newest_records(self):
+    def test_expired_history_is_replaced_by_a_snapshot(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -117,11 +118,11 @@
 
 
 class TestFirstRead:
-    def test_slow_store_is_read_once_at_a_time(self):
-        """All hosts start, and the settings are large for their links.
+    def test_first_reads_are_not_concurrent(self):
+        """Guards against concurrent or restarted reads that delay the start on a slow link.
 
-        Reads beside each other, or one that is given up and begun anew, would make each other
-        longer, and callers are refused meanwhile. One read goes on until it is done.
+        All hosts start with settings that are large for their links, and refuse callers until the
+        first read is complete.
         """
         state, store = (
             EntryState(
@@ -166,7 +167,7 @@
 
 
 class TestKeys:
-    def test_key_taken_away_is_refused(self):
+    def test_revoked_key_is_refused(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -178,11 +179,12 @@
         assert anyio.run(run) == 401
 
     @pytest.mark.parametrize("fault", ["busy", "silent"])
-    def test_cut_off_host_stops_honouring_keys(self, fault):
-        """The store turns this host away, and a key is taken away meanwhile.
+    def test_cut_off_host_stops_accepting_keys(self, fault):
+        """Guards against accepting a revoked key while the store rejects this host.
 
-        The caller is served for a while, then refused as not run. Not ready comes before that.
-        Nothing reaches an endpoint later than the bound. After the return the key is denied.
+        The caller is served for a while, then refused as not run, and the host is not ready by
+        then. No request reaches an endpoint after the limit. Once the store is back, the key is
+        denied.
         """
 
         async def run():
@@ -204,7 +206,7 @@
 
         assert anyio.run(run) == (200, 503, False, 401, 0)
 
-    def test_route_without_keys_goes_on_through_an_outage(self):
+    def test_route_without_keys_is_served_during_an_outage(self):
         async def run():
             free = route(**{"allow-anonymous": True})
             async with open_world(free, bounds=FAST) as world:
@@ -219,10 +221,10 @@
 
 
 class TestEndpoints:
-    def test_draining_endpoint_gets_nothing_more(self):
-        """An endpoint says that it is leaving; it may be gone 2 s later.
+    def test_draining_endpoint_gets_no_requests(self):
+        """Guards against sending to an endpoint that may end 2 s after its draining record.
 
-        Half of that time has to be enough, however soon after another read the record comes.
+        Entries have to know after half of that time, even if the record follows just after a read.
         """
 
         async def run():
@@ -247,7 +249,7 @@
             b'{"service":["plain"],"address":"127.0.0.1:9","zone":"a","slots":4,"state":"ready"}',
         ],
     )
-    def test_record_of_another_writer_names_no_endpoint_and_harms_no_other(self, value):
+    def test_invalid_record_is_refused_and_affects_no_other_endpoint(self, value):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -262,8 +264,8 @@
         assert status == 200
         assert len(lines) == 1
 
-    def test_reads_do_not_grow_with_the_records(self):
-        """Endpoints may write at every heartbeat. Each read of the store is paid for."""
+    def test_number_of_reads_does_not_grow_with_the_records(self):
+        """Endpoints may write at every heartbeat, and each read of the store costs money."""
 
         async def run():
             async with open_world(route()) as world:
@@ -279,11 +281,10 @@
 
 
 class TestConfirmations:
-    def test_an_outage_finds_the_settings_freshly_confirmed(self):
-        """The store goes away for a few seconds while callers go on.
+    def test_settings_are_recently_confirmed_when_an_outage_begins(self):
+        """Guards against refusing callers too early in an outage of a few seconds.
 
-        They are served on what was known for as long as the bound allows. Were only waiting reads
-        to confirm it, the time until the last question would be lost, and callers refused sooner.
+        If only long polls confirmed the settings, their age would include the wait of the last one.
         """
 
         async def run():
@@ -298,8 +299,8 @@
         assert anyio.run(run) < 1.8
 
 
-class StoreOfReads(Store):
-    """Counts short reads; a waiting one is receiving settings for as long as the test says."""
+class ReadCountingStore(Store):
+    """Counts short reads; long polls never end, and the test sets whether one is receiving."""
 
     def __init__(self):
         self.short_reads = 0
@@ -329,14 +330,14 @@
 
 
 class TestConfirming:
-    def test_settings_that_are_on_their_way_are_not_fetched_twice(self):
-        """Settings of a thousand routes come over a slow link, twelve versions in some seconds.
+    def test_settings_in_transfer_are_not_fetched_twice(self):
+        """Guards against a short read that fetches what the long poll is already receiving.
 
-        A short read beside the waiting one would fetch each of them a second time, and callers'
-        requests and answers queue behind both. It is sent once the settings have come, or when the
-        connection seems to have gone silent.
+        Twelve versions with a thousand routes arrive within seconds over a slow link, and the
+        traffic of callers queues behind them. The short read starts once the transfer ends or the
+        connection seems to have stalled.
         """
-        store = StoreOfReads()
+        store = ReadCountingStore()
         follow = follow_config(store)
         reads = []
 
@@ -360,14 +361,10 @@
         assert reads == [0, 1, 2]
 
 
-class TestTurnedAway:
-    def test_only_a_read_that_failed_says_that_the_store_turns_an_entry_away(self):
-        """A busy host reads a little late, while another entry has just told it the same.
-
-        Were that taken for being turned away, operators would look for a fault of the store where
-        there is none.
-        """
-        store = StoreOfReads()
+class TestIsTurnedAway:
+    def test_only_a_failed_read_counts(self):
+        """Guards against reporting a fault of the store when a busy host only reads late."""
+        store = ReadCountingStore()
         follow = follow_config(store)
         seen = []
 
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -11,18 +11,18 @@
 from fanout_world import FleetWorld, History, StoreFault
 from platform_world import open_world, route
 
-# Ready is given up at this age, and callers are sent elsewhere.
+# An entry whose settings are this old is no longer ready, and its callers go to other entries.
 NOT_READY_S = 3.0
-# What one entry may send a second for control, in the letter of the users.
-MOST_BYTES_PER_S = 4_096
+# Limit of the control traffic of one entry, as required by the users.
+MAX_BYTES_PER_S = 4_096
 STARTED_S = 8.0
 
 
-class TestCalm:
-    def test_calls_of_the_fleet_do_not_grow_with_it(self):
-        """Dozens of entries follow the same records; each read of the store is paid for.
+class TestSteadyState:
+    def test_number_of_store_calls_does_not_grow_with_the_fleet(self):
+        """Guards against the cost of reads that every entry makes for itself.
 
-        Each for itself they ask some two times a second. Four ask for all.
+        Without sharing, each entry reads the store about twice per second. With it, only four do.
         """
         calls = {}
         for entries, is_shared in ((22, True), (68, True), (68, False)):
@@ -34,7 +34,7 @@
         assert calls[68, True] <= calls[68, False] / 10
 
     @pytest.mark.parametrize("entries", [1, 4, 5, 22, 68, 350])
-    def test_all_hear_of_a_change_at_once(self, entries):
+    def test_change_reaches_all_entries_at_once(self, entries):
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
             world.configure()
@@ -47,13 +47,13 @@
             assert world.broken == []
 
     @pytest.mark.parametrize("entries", [4, 22, 68, 350])
-    def test_settings_stay_fresh(self, entries):
+    def test_settings_never_get_old(self, entries):
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
 
             assert world.oldest_in(10.0) < 2.0
 
-    def test_entry_keeps_to_the_bytes_of_control(self):
+    def test_control_traffic_of_an_entry_is_bounded(self):
         with FleetWorld(350) as world:
             world.advance(STARTED_S)
             for row in world.members.values():
@@ -61,14 +61,14 @@
             world.advance(10.0)
 
             most = max(row.sent_bytes for row in world.members.values()) / 10.0
-            assert most < MOST_BYTES_PER_S
+            assert most < MAX_BYTES_PER_S
 
     @pytest.mark.parametrize("routes", [400, 1_200])
-    def test_large_settings_are_read_from_the_store_by_each(self, routes):
-        """Some hundred routes are 60 KB and more; passed on to eight others they fill a thin link.
+    def test_large_settings_are_read_from_the_store_by_each_entry(self, routes):
+        """Guards against filling a slow link by pushing 60 KB or more to eight other entries.
 
-        On links of 10 Mbit/s the messages met their time limit, those below read for themselves all
-        the same, and callers of the hosts that told waited for a second behind them.
+        On links of 10 Mbit/s, the messages timed out, the receivers read the store anyway, and
+        callers of the sending hosts waited a second behind them.
         """
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
@@ -81,8 +81,8 @@
             assert world.all_know(lambda state: state.config.version == version)
             assert max(row.sent_bytes for row in world.members.values()) < 20_000
 
-    def test_large_settings_in_quick_succession_are_in_force_in_time(self):
-        """Twelve versions in four seconds; each has to be in force everywhere within two."""
+    def test_large_settings_in_quick_succession_take_effect_in_time(self):
+        """Of twelve versions in four seconds, each has to be in force everywhere within two."""
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             late_s = []
@@ -100,16 +100,16 @@
             assert world.broken == []
 
 
-class TestLoss:
-    """Entries that read for others are lost, or can't read, at the worst moment."""
+class TestFailures:
+    """The entries that read the store for others fail or can't reach it."""
 
     @pytest.mark.parametrize("lost", [1, 2, 3, 4])
     @pytest.mark.parametrize("entries", [22, 68])
-    def test_readers_that_are_killed_are_not_missed(self, entries, lost):
-        """Readers are killed for good, and their addresses stay in the store.
+    def test_killed_readers_are_replaced(self, entries, lost):
+        """Guards against losing readiness after readers were killed for good.
 
-        Those below ask peers, then the store, level by level, and tell those below them: nobody
-        loses readiness, and the calls stay far from one for each entry.
+        Their addresses stay in the store. Downstream entries ask peers, then the store, level by
+        level, and push to the next level, so the calls stay far below those of every entry reading.
         """
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
@@ -124,7 +124,7 @@
             assert world.broken == []
             assert world.calls_in(10.0) < 10 * 2.0 * entries / 2
 
-    def test_readers_that_the_store_turns_away_go_on_by_the_others(self):
+    def test_rejected_readers_get_updates_from_other_readers(self):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             world.fault(StoreFault.BUSY, world.readers()[:3])
@@ -136,7 +136,7 @@
             assert world.oldest_in(9.0) < 2.0
 
     @pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.SILENT, StoreFault.LATE])
-    def test_all_readers_turned_away_are_no_outage_for_the_others(self, fault):
+    def test_other_entries_take_over_when_all_readers_are_rejected(self, fault):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             world.fault(fault, world.readers())
@@ -148,11 +148,11 @@
             assert world.all_know(lambda state: state.config.version == version)
             assert world.broken == []
 
-    def test_store_that_is_away_keeps_nobody_in_force(self):
-        """No entry reaches the store, and all reach each other.
+    def test_settings_of_all_entries_age_during_an_outage(self):
+        """Guards against entries that renew each other's settings without the store.
 
-        Were an age to get younger on its way, keys that were taken away would be honoured without
-        end. All of them grow old together.
+        No entry reaches the store, and all reach each other. If an age decreased in transit,
+        revoked keys would be accepted forever.
         """
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
@@ -173,8 +173,8 @@
             version = world.version
             assert world.all_know(lambda state: state.config.version == version)
 
-    def test_return_of_the_store_is_no_herd(self):
-        """68 entries have lost the store for six seconds; it takes what few readers ask."""
+    def test_return_of_the_store_causes_no_thundering_herd(self):
+        """After six seconds without the store, only a few of 68 entries read it."""
         with FleetWorld(68) as world:
             world.advance(STARTED_S)
             world.fault(StoreFault.SILENT)
@@ -184,11 +184,11 @@
 
             assert world.calls_in(10.0) < 10 * 2.0 * 68 / 8
 
-    def test_endpoints_that_lapse_in_an_outage_are_kept_by_all(self):
-        """The store is away, and records of sound endpoints expire; they come back after it.
+    def test_endpoints_whose_records_expire_in_an_outage_are_kept(self):
+        """Guards against dropping healthy endpoints whose records expired during an outage.
 
-        An entry that does not read for itself has to know that the store was away, or it drops
-        them all and has nobody to send its callers to.
+        The endpoints rewrite their records once the store is back. Entries that do not read the
+        store themselves have to learn of the outage, or they have no endpoints left.
         """
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
@@ -210,10 +210,10 @@
             now_s = world.loop.world_s
             assert world.all_know(lambda state: len(state.registry.usable("s", now_s)) == 3)
 
-    def test_endpoint_that_left_in_an_outage_is_gone_while_hosts_come_back_one_by_one(self):
-        """Guards against each host's own return keeping a departed endpoint for two more seconds.
+    def test_endpoint_that_left_in_an_outage_is_dropped_while_hosts_reconnect(self):
+        """Guards against keeping a departed endpoint two seconds longer for each reconnecting host.
 
-        The store is back for most, and rejects a few hosts for another second or two.
+        The store is back for most hosts, and rejects a few for another second or two.
         """
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
@@ -233,11 +233,11 @@
             now_s = world.loop.world_s
             assert world.all_know(lambda state: len(state.registry.usable("s", now_s)) == 3)
 
-    def test_paused_entry_does_not_take_old_messages_for_new(self):
-        """A host is paused while a key is taken away; on waking it finds what it was told before.
+    def test_resumed_entry_does_not_take_old_messages_for_new(self):
+        """Guards against old messages that renew the settings of a host which was paused.
 
-        Each message says when the store was asked as a span from the entry's own last word, so
-        what lay in the socket looks as old as it is.
+        A key is revoked during the pause. The times in a message are relative to the receiver's own
+        last reply, so a message from its socket buffer looks as old as it is.
         """
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
@@ -252,7 +252,7 @@
             assert paused.state.lease.age_s(world.loop.world_s) > 3.9
             assert world.broken == []
 
-    def test_entries_that_start_again_go_on(self):
+    def test_restarted_entries_get_updates_again(self):
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             for name in list(world.members)[:12]:
@@ -268,11 +268,11 @@
             assert world.oldest_in(5.0) < 2.2
             assert world.broken == []
 
-    def test_return_of_many_is_no_herd_on_the_store(self):
-        """37 of 68 entries are killed at the same moment, and start again two seconds later.
+    def test_restart_of_many_entries_does_not_overload_the_store(self):
+        """Guards against a burst of reads after 37 of 68 entries restart together.
 
-        Each needs the newest records once, and writes its address. Those that stayed are told by
-        others meanwhile; from the fourth second on the calls are those of a calm fleet.
+        Each of them reads the newest records once and writes its address. From the fourth second
+        on, the number of calls is that of the steady state.
         """
         with FleetWorld(68) as world:
             world.advance(STARTED_S)
@@ -290,8 +290,8 @@
             assert world.oldest_in(3.0) < 2.0
             assert world.broken == []
 
-    def test_fleet_whose_lists_differ_loses_nothing(self):
-        """An entry has not heard of half of the others, so it tells and expects the wrong ones."""
+    def test_fleet_with_differing_lists_stays_up_to_date(self):
+        """Some entries know only half of the others, so they compute a different fan-out tree."""
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             for row in list(world.members.values())[:8]:
@@ -302,9 +302,9 @@
             assert world.broken == []
 
 
-class TestRecordsOfEndpoints:
-    def test_newest_of_thousands_are_read_from_the_store_by_each(self):
-        """Guards against the full list being passed on: 0.9 MB to each of eight entries, twice."""
+class TestEndpointRecords:
+    def test_thousands_of_records_are_read_from_the_store_by_each_entry(self):
+        """Guards against pushing the full list: 0.9 MB to each of eight entries, twice."""
         with FleetWorld(68) as world:
             world.advance(STARTED_S)
             for row in world.members.values():
@@ -316,7 +316,7 @@
             assert world.all_know(lambda state: len(state.registry) == 2_004)
             assert max(row.sent_bytes for row in world.members.values()) < 60_000
 
-    def test_records_come_from_one_source(self):
+    def test_records_are_sent_by_one_source_only(self):
         with FleetWorld(68) as world:
             world.advance(STARTED_S)
             for row in world.members.values():
@@ -331,22 +331,22 @@
             assert world.all_know(lambda state: len(state.registry) == 44)
             assert sent < 68 * 2.2 * size
 
-    def test_second_source_sends_what_the_first_did_not(self):
+    def test_second_source_sends_what_the_first_did_not_send(self):
         with FleetWorld(68) as world:
             world.advance(STARTED_S)
-            told = next(row for row in world.members.values() if row.state.fan_out.depth == 2)
-            first, _ = told.state.fan_out.upstream()
+            member = next(row for row in world.members.values() if row.state.fan_out.depth == 2)
+            first, _ = member.state.fan_out.upstream()
             world.kill(first)
             world.endpoint("e9")
             world.advance(0.4)
 
-            assert told.state.registry.find("e9") is not None
+            assert member.state.registry.find("e9") is not None
 
 
 class TestOutage:
     @pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.SILENT])
-    def test_store_that_is_away_is_asked_by_few(self, fault):
-        """Guards against every entry asking for each topic four times a second in an outage."""
+    def test_unreachable_store_gets_few_calls(self, fault):
+        """Guards against every entry reading each topic four times a second in an outage."""
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             world.fault(fault)
@@ -354,7 +354,7 @@
             assert world.calls_in(8.0) < 8.0 * 24 * 1.5
 
     @pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.SILENT])
-    def test_its_return_is_noticed_at_once(self, fault):
+    def test_return_of_the_store_is_noticed_at_once(self, fault):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             world.fault(fault)
@@ -368,14 +368,14 @@
 
 
 class TestHistories:
-    """Entries are paused, cut off, started again and turned away by the store, in any order.
+    """Entries are paused, cut off, restarted and rejected by the store, in random order.
 
-    At no time may one hold settings as confirmed later than newer ones were written; once all is
-    well again, all have the newest within the seconds in which the store is found again.
+    No entry may ever have settings confirmed at a time after newer ones were written. Once all
+    faults are cleared, every entry gets the newest settings within seconds.
     """
 
     @pytest.mark.parametrize("seed", range(1, 13))
-    def test_nothing_old_is_held_as_new(self, seed):
+    def test_old_settings_are_never_confirmed(self, seed):
         with FleetWorld(22, seed=seed) as world:
             world.advance(4.0)
             history = History(world, seed)
@@ -388,8 +388,8 @@
             assert world.all_know(lambda state: state.config.version == version)
             assert world.oldest_in(4.0) < NOT_READY_S
 
-    def test_messages_counted_from_their_arrival_are_found(self, monkeypatch):
-        """Without the receiver's own clock in them, messages that lay in a socket look new."""
+    def test_ages_relative_to_the_arrival_are_detected(self, monkeypatch):
+        """Without the receiver's clock in them, messages that waited in a socket look new."""
 
         def decode(data):
             update = ORIGINAL(data)
@@ -411,9 +411,9 @@
 
 
 class TestOracle:
-    """What the world looks for is found when the rule of the age, or the fallback, is taken out."""
+    """The checks of the simulated fleet fail if the age rule or the fallback is removed."""
 
-    def test_age_counted_from_arrival_is_found(self, monkeypatch):
+    def test_lease_renewed_without_the_age_is_detected(self, monkeypatch):
         monkeypatch.setattr(
             "beryljunction.gateway.following.ConfigWatcher.apply_update",
             lambda self, host, version, value, asked_s: self._state.lease.confirm(
@@ -457,7 +457,7 @@
         TopicUpdate((Record("e", None),), 3, 4),
     )
 
-    def test_forms_are_read_as_they_were_written(self):
+    def test_round_trip(self):
         reply = Reply("1", 2.5, 7, -1, 4)
 
         assert Update.decode(self.UPDATE.encode()) == self.UPDATE
@@ -492,7 +492,7 @@
             (12, {}),
         ],
     )
-    def test_what_no_entry_writes_is_an_error(self, place, value):
+    def test_invalid_field_is_an_error(self, place, value):
         values = json.loads(self.UPDATE.encode())
         values[place] = value
 
@@ -500,13 +500,13 @@
             Update.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff", b"[1,2,3,4,5,6]"])
-    def test_bytes_that_are_none_are_an_error(self, data):
-        for form in (Update, Reply):
+    def test_malformed_message_is_an_error(self, data):
+        for message_type in (Update, Reply):
             with pytest.raises(ValueError, match="expected"):
-                form.decode(data)
+                message_type.decode(data)
 
-    def test_bad_updates_are_refused_and_change_nothing(self):
-        """Messages that can't be read, of a host that no list names, and from the future."""
+    def test_invalid_updates_are_rejected_and_change_nothing(self):
+        """Messages that are malformed, come from an unknown host, or have times in the future."""
         with FleetWorld(2) as world:
             world.advance(STARTED_S)
             one = world.members["front-0"]
@@ -529,13 +529,13 @@
             assert world.oldest_in(3.0) < 2.0
             assert world.broken == []
 
-    def test_entry_that_does_not_answer_costs_a_moment(self):
+    def test_entry_that_does_not_answer_costs_only_the_timeout(self):
         async def run():
             async with open_world(route(), start=False) as world:
                 world.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    dark = await HttpUpdateLink().update(world.store_address, b"{}")
-                    gone = await HttpUpdateLink().update(("127.0.0.1", 1), b"{}")
-                return dark, gone
+                    silent = await HttpUpdateLink().update(world.store_address, b"{}")
+                    refused = await HttpUpdateLink().update(("127.0.0.1", 1), b"{}")
+                return silent, refused
 
         assert anyio.run(run) == (None, None)
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -16,8 +16,8 @@
 from platform_world import open_world, reset, route
 from routing_fakes import known
 
-# Time in which all entries have to know, by the platform's promises.
-KNOWN_S = 3.0
+# Time within which the platform guarantees that all entries know of a quarantine.
+PROPAGATION_S = 3.0
 STARTED_S = 8.0
 CRASHES = tuple(Crash("d" * 32, (f"e{number}", 1)) for number in range(3))
 REPORT = CrashReport(CRASHES, ("served",), (("bad", 60.0),))
@@ -33,10 +33,10 @@
 
 
 class TestCrashingRequest:
-    """A request crashes each endpoint that runs it, and comes again at any entry."""
+    """A request crashes each endpoint that runs it, and is repeated at any entry."""
 
     def play(self, world, service, streamed, length_s=15.0, gap_s=0.4):
-        """Let it come at one entry after the other; return what was broken."""
+        """Send it to the entries in turn; return the violations found."""
         world.advance(3.0)
         for number in range(int(length_s / gap_s)):
             entry = ENTRIES[number % len(ENTRIES)]
@@ -46,19 +46,19 @@
         return world.finish()
 
     def test_it_stops_reaching_endpoints(self):
-        """Guards against a request that ends endpoints for as long as it comes again."""
+        """Guards against a request that crashes endpoints for as long as it is repeated."""
         with fuzz_world() as world:
             assert self.play(world, "free", streamed=True) == []
 
     @pytest.mark.parametrize("streamed", [False, True], ids=["call", "stream"])
     @pytest.mark.parametrize("service", ["once", "free"])
-    def test_it_ends_three_endpoints_and_those_it_has_reached_meanwhile(self, service, streamed):
+    def test_it_crashes_three_endpoints_plus_those_already_running_it(self, service, streamed):
         with fuzz_world() as world:
             assert self.play(world, service, streamed) == []
             assert 3 <= len(world.oracle.crashes_s["d1"]) <= 4
 
-    def test_entries_that_only_see_one_crash_each_find_it(self):
-        """Guards against crashes that are counted by each entry for itself."""
+    def test_entries_that_see_one_crash_each_detect_it(self):
+        """Guards against each entry counting only the crashes that it has seen itself."""
         with fuzz_world() as world:
             world.advance(3.0)
             for entry in (*ENTRIES, ENTRIES[0], *ENTRIES * 5):
@@ -68,7 +68,7 @@
             assert world.finish() == []
             assert len(world.oracle.crashes_s["d1"]) == 3
 
-    def test_refusal_is_immediate_and_says_when_to_come_back(self):
+    def test_refusal_is_immediate_and_has_a_retry_after_header(self):
         digest = request_digest("acme", b"POST", "shop.example", b"/pay/1", b"bad")
 
         async def run():
@@ -92,13 +92,13 @@
 
 
 class TestOtherRequests:
-    """Requests that end nothing are served, whatever their endpoints do."""
+    """Requests that crash no endpoint are served, whatever their endpoints do."""
 
     @pytest.mark.parametrize(
         "behaviour", [Behaviour.LOSE_ANSWER, Behaviour.CUT, Behaviour.RUBBISH, Behaviour.ERROR]
     )
-    def test_endpoint_that_loses_answers_has_not_ended(self, behaviour):
-        """Guards against requests that are refused since endpoints break connections."""
+    def test_lost_answer_is_not_a_crash(self, behaviour):
+        """Guards against quarantining requests because endpoints break connections."""
         with fuzz_world() as world:
             for name in ENDPOINTS:
                 behave(world, name, behaviour)
@@ -109,7 +109,7 @@
             assert world.finish() == []
             assert not caller.asked.body.startswith(b"quarantined")
 
-    def test_endpoint_that_leaves_has_not_crashed(self):
+    def test_endpoint_that_drains_and_ends_is_not_a_crash(self):
         async def leave_and_end(answer, writer, number):
             registry = worlds[0].entry._state.registry
             record = registry.find("e1").record
@@ -131,10 +131,10 @@
 
 
 class TestFleet:
-    """Entries that see one crash each, of one request."""
+    """Several entries see one crash each of the same request."""
 
-    def witnesses(self, world, count=3):
-        """Let the crashes be seen by entries that don't count this request."""
+    def report_crashes(self, world, count=3):
+        """Let entries that don't own this request see its crashes."""
         owners = owners_of(CRASHES[0].digest, world.members)
         others = [row for name, row in world.members.items() if name not in owners]
         rows = (others or list(world.members.values()))[:count]
@@ -144,90 +144,90 @@
             row.state.quarantine.note_crash(crash.digest, known(crash.start[0]))
         return owners
 
-    def all_hold(self, world):
+    def is_quarantined_by_all(self, world):
         return world.all_know(lambda state: state.quarantine.left_s(CRASHES[0].digest) > 0.0)
 
     @pytest.mark.parametrize("entries", [1, 2, 4, 24, 68, 350])
-    def test_all_know_in_time(self, entries):
-        """Guards against an entry that sends on what others know to end endpoints."""
+    def test_quarantine_reaches_all_entries_in_time(self, entries):
+        """Guards against an entry that sends a request which others have in quarantine."""
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
 
-            assert self.all_hold(world)
+            assert self.is_quarantined_by_all(world)
 
-    def test_two_entries_that_count_may_be_lost(self):
+    def test_two_unreachable_owners_are_tolerated(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             for name in owners_of(CRASHES[0].digest, world.members)[:2]:
                 world.members[name].is_cut = True
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
 
             rows = [row for row in world.members.values() if not row.is_cut]
             assert all(row.state.quarantine.left_s(CRASHES[0].digest) > 0.0 for row in rows)
 
-    def test_entry_that_was_cut_off_learns_of_it(self):
+    def test_entry_that_was_cut_off_gets_the_quarantine(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             world.members["front-7"].is_cut = True
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
             world.members["front-7"].is_cut = False
-            world.advance(KNOWN_S)
+            world.advance(PROPAGATION_S)
 
-            assert self.all_hold(world)
+            assert self.is_quarantined_by_all(world)
 
-    def test_store_that_is_away_delays_nobody(self):
+    def test_unreachable_store_does_not_delay_the_quarantine(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             world.fault(StoreFault.BUSY)
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
 
-            assert self.all_hold(world)
+            assert self.is_quarantined_by_all(world)
 
     @pytest.mark.parametrize("entries", [4, 24])
-    def test_entries_that_all_start_again_know_it_from_the_store(self, entries):
-        """Guards against a loss of power after which each entry tries the request again."""
+    def test_entries_that_all_restart_read_the_quarantine_from_the_store(self, entries):
+        """Guards against losing the quarantine in a power failure of all entries."""
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
             for name, row in list(world.members.items()):
                 world.kill(name)
                 world.start(name, row.address)
-            world.advance(KNOWN_S)
+            world.advance(PROPAGATION_S)
 
-            assert self.all_hold(world)
+            assert self.is_quarantined_by_all(world)
 
-    def test_entry_that_joins_knows_it(self):
+    def test_joining_entry_gets_the_quarantine(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            self.witnesses(world)
-            world.advance(KNOWN_S)
+            self.report_crashes(world)
+            world.advance(PROPAGATION_S)
             world.start("new", ("10.0.0.1", 5_000))
-            world.advance(KNOWN_S)
+            world.advance(PROPAGATION_S)
 
-            assert self.all_hold(world)
+            assert self.is_quarantined_by_all(world)
 
-    def test_request_that_is_served_after_all_is_acquitted_everywhere(self):
+    def test_request_that_is_served_later_is_cleared_everywhere(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            self.witnesses(world, count=2)
+            self.report_crashes(world, count=2)
             world.advance(1.0)
             owners = owners_of(CRASHES[0].digest, world.members)
             others = [row for name, row in world.members.items() if name not in owners]
             others[0].state.quarantine.note_served(CRASHES[0].digest)
             world.advance(1.0)
             others[5].state.quarantine.note_crash(CRASHES[2].digest, known("e2"))
-            world.advance(KNOWN_S)
+            world.advance(PROPAGATION_S)
 
             assert not world.all_know(lambda state: len(state.quarantine) > 0)
 
-    def test_entry_that_no_list_names_yet_is_told_in_the_answer(self):
-        """Guards against an entry that has started, is not told, and sends a deadly request on."""
+    def test_entry_that_is_on_no_list_yet_gets_the_quarantine_in_the_answer(self):
+        """Guards against a new entry that misses the announcement and sends a crashing request."""
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             late = world.members["front-3"]
@@ -236,12 +236,12 @@
                 row.state.quarantine.take(CrashReport((), (), (("d", 60.0),)))
             late.state.quarantine._table._quarantined.clear()
             late.state.quarantine.note_crash("d", known("e1"))
-            world.advance(KNOWN_S)
+            world.advance(PROPAGATION_S)
 
             assert late.state.quarantine.left_s("d") > 0.0
 
-    def test_crashes_of_many_requests_keep_to_the_bytes_of_control(self):
-        """Guards against an endpoint's end that is told to all entries for each request it had."""
+    def test_crash_reports_of_many_requests_stay_within_the_control_traffic_limit(self):
+        """Guards against reporting a crash to all entries for each request of the endpoint."""
         with FleetWorld(350) as world:
             world.advance(STARTED_S)
             row = world.members["front-3"]
@@ -254,7 +254,7 @@
 
 
 class TestStore:
-    def test_record_comes_back(self):
+    def test_record_has_the_end_of_the_quarantine(self):
         with FleetWorld(1) as world:
             world.advance(STARTED_S)
             quarantine = world.members["front-0"].state.quarantine
@@ -266,14 +266,14 @@
             assert 55 < float(bad.value) - world.loop.world_s <= 61
 
     @pytest.mark.parametrize("value", [b"", b"soon", b"\xff", b"nan", b"inf", b"-1", b"1"])
-    def test_record_that_can_not_be_read_or_is_over_changes_nothing(self, value):
+    def test_malformed_or_expired_record_changes_nothing(self, value):
         with FleetWorld(1) as world:
             quarantine = world.members["front-0"].state.quarantine
             quarantine.take_record(Record("quarantine/d", value))
 
             assert quarantine.left_s("d") == 0.0
 
-    def test_quarantine_that_is_over_is_not_counted(self):
+    def test_expired_quarantine_is_not_counted(self):
         with FleetWorld(4) as world:
             world.advance(STARTED_S)
             row = next(
@@ -287,7 +287,7 @@
 
             assert len(row.state.quarantine) == 0
 
-    def test_key_of_a_quarantine_that_is_over_is_removed(self):
+    def test_key_of_an_expired_quarantine_is_removed(self):
         with FleetWorld(4) as world:
             world.advance(STARTED_S)
             for row in world.members.values():
@@ -300,7 +300,7 @@
 
 
 class TestMessage:
-    def test_report_comes_back(self):
+    def test_round_trip(self):
         assert CrashReport.decode(REPORT.encode()) == REPORT
 
     @pytest.mark.parametrize(
@@ -320,22 +320,22 @@
             {"quarantined": [["d", -1.0]]},
         ],
     )
-    def test_what_no_entry_writes_is_an_error(self, change):
+    def test_invalid_field_is_an_error(self, change):
         values = {"crashes": [], "served": [], "quarantined": [], **change}
 
         with pytest.raises(ValueError):
             CrashReport.decode(json.dumps(values).encode())
 
-    def test_peers_tell_each_other(self):
+    def test_report_is_sent_and_answered_over_http(self):
         async def run():
             async with open_world(route()) as world:
                 state = world.entry._state
                 server = await world.serve(PeerHandler(state, None, PeerTable(state.random)))
-                told = await HttpPeerLink().report(server, REPORT.encode())
+                answer = await HttpPeerLink().report(server, REPORT.encode())
                 bad = await HttpPeerLink().report(server, b"[]")
-                return CrashReport.decode(told), bad, len(state.quarantine)
+                return CrashReport.decode(answer), bad, len(state.quarantine)
 
-        told, bad, quarantined = anyio.run(run)
+        answer, bad, quarantined = anyio.run(run)
 
-        assert [digest for digest, _ in told.quarantined] == [CRASHES[0].digest]
+        assert [digest for digest, _ in answer.quarantined] == [CRASHES[0].digest]
         assert (bad, quarantined) == (None, 2)
