--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -1,4 +1,4 @@
-"""A fleet of entries in virtual time that read one store and pass on what it tells."""
+"""Simulated fleet of entries in virtual time that read one store and pass on its records."""
 
 import asyncio
 import contextlib
@@ -29,11 +29,12 @@
 
 __all__ = ["CountingStore", "FleetWorld", "History", "RecordHistory", "StoreFault"]
 
-# A message to another entry takes this long one way; one without an answer is given up on.
-WAY_S = 0.002
-ANSWER_S = 0.3
-# What a message costs on the wire besides its body: request line, headers, answer's head.
-FRAME_BYTES = 150
+# One-way delay of a message to another entry.
+DELAY_S = 0.002
+# Time after which a message without an answer is given up.
+ANSWER_TIMEOUT_S = 0.3
+# Size of a message on the wire besides its body: request line, headers and response head.
+OVERHEAD_BYTES = 150
 BOUNDS = HostBounds(drain_ms=4_000)
 
 
@@ -48,10 +49,10 @@
 
 
 class CountingStore(FuzzStore):
-    """Counts calls; the next read of a topic in `hanging` gets no answer, on its connection alone.
+    """Counts calls; the next read of a topic in `hanging` gets no answer.
 
     Attributes:
-        hanging: Names of topics.
+        hanging: Names of topics. Other connections of the entry are not affected.
     """
 
     def __init__(self, model, loop):
@@ -77,9 +78,9 @@
     """One entry.
 
     Attributes:
-        held_until_s: Messages to it lie in its socket until then: its host is paused.
-        is_cut: Nothing reaches it, nor it anybody.
-        sent_bytes: Messages to entries below it.
+        held_until_s: Time until which its host is paused; messages wait in its socket buffer.
+        is_cut: Whether it is cut off from all other entries.
+        sent_bytes: Bytes of its messages to other entries.
     """
 
     name: str
@@ -101,29 +102,29 @@
         self.member = member
 
     async def _reach(self, address):
-        """Return the entry at an address, None when there is none to be had in time."""
+        """Return the entry at an address; None if it is unreachable."""
         other = self.world.at(address)
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(DELAY_S)
         if other is None or other.is_cut or self.member.is_cut:
-            await anyio.sleep(ANSWER_S)
+            await anyio.sleep(ANSWER_TIMEOUT_S)
             return None
         return other
 
     async def update(self, address, message):
         other = await self._reach(address)
-        self.member.sent_bytes += FRAME_BYTES + len(message)
+        self.member.sent_bytes += OVERHEAD_BYTES + len(message)
         if other is None:
             return None
         loop = self.world.loop
         if other.held_until_s > loop.time():
             loop.call_at(other.held_until_s, self._deliver_late, other, message)
-            await anyio.sleep(ANSWER_S)
+            await anyio.sleep(ANSWER_TIMEOUT_S)
             return None
         try:
             answer = other.updates.take(message)
         except ValueError:
             return None
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(DELAY_S)
         return answer
 
     @staticmethod
@@ -136,7 +137,7 @@
         if other is None or other.endpoints is None:
             return "no answer"
         known = known_here(other.state, other.endpoints, version, offset)
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(DELAY_S)
         return "nothing known" if known is None else Known.decode(known.encode())
 
     async def tell(self, address, news):
@@ -144,16 +145,16 @@
 
     async def report(self, address, crashes):
         other = await self._reach(address)
-        self.member.sent_bytes += FRAME_BYTES + len(crashes)
+        self.member.sent_bytes += OVERHEAD_BYTES + len(crashes)
         if other is None:
             return None
         answer = other.state.quarantine.take(CrashReport.decode(crashes)).encode()
-        await anyio.sleep(WAY_S)
+        await anyio.sleep(DELAY_S)
         return answer
 
 
 class FleetWorld:
-    """The fleet; closed at the end."""
+    """Simulated fleet and store, as a context manager that cancels all tasks on exit."""
 
     def __init__(self, entries, is_shared=True, seed=1, bounds=None):
         self.loop = VirtualLoop()
@@ -180,8 +181,8 @@
         return self
 
     def __exit__(self, *_):
-        # An error that nobody has asked for is logged when its task is collected. Formatting the
-        # traceback then breaks any parsing of Python that is under way in this process.
+        # An exception that is never retrieved is logged when its task is garbage collected.
+        # Formatting the traceback then breaks any parsing of Python code in this process.
         for task in self.tasks:
             if task.done() and not task.cancelled():
                 task.exception()
@@ -192,7 +193,7 @@
         self.loop.close()
         self.clock.__exit__(None, None, None)
 
-    # What happens
+    # Actions
 
     def put(self, topic, key, value):
         self.model.put(topic, key, value, self.loop.world_s)
@@ -247,7 +248,7 @@
                 group.start_soon(UpdatePublisher(link, state, endpoints, entries).run)
 
     def kill(self, name):
-        """Kill an entry for good; its address stays in the store."""
+        """Kill an entry permanently; its address stays in the store."""
         member = self.members.pop(name)
         member.task.cancel()
         self.calls_of_dead += member.store.calls
@@ -261,20 +262,20 @@
         for name in names or self.members:
             self.members[name].store.fault = fault
 
-    # What is seen
+    # Observations
 
     def readers(self):
         return [row.name for row in self.members.values() if row.state.fan_out.is_reader]
 
     def advance(self, duration_s, step_s=0.05):
-        """Let time pass, and look at each entry after each step."""
+        """Let time pass, and check each entry after each step."""
         ends_s = self.loop.now_s + duration_s
         while self.loop.now_s < ends_s:
             self.loop.run_until_complete(asyncio.sleep(step_s))
-            self._look()
+            self._check()
 
-    def _look(self):
-        """No entry may hold settings as confirmed later than newer ones were written."""
+    def _check(self):
+        """Record entries whose settings are confirmed at a time after newer ones were written."""
         now_s = self.loop.world_s
         for row in self.members.values():
             config, confirmed_s = row.state.config, row.state.lease.confirmed_s
@@ -294,7 +295,7 @@
         return self.calls() - before
 
     def oldest_in(self, duration_s):
-        """Return the largest age of any entry's settings while time passes."""
+        """Let time pass, and return the largest age of any entry's settings meanwhile."""
         self.ages_s.clear()
         self.advance(duration_s)
         return max(self.ages_s)
@@ -304,13 +305,13 @@
         return next(iter(self.members.values())).state.fan_out.hosts
 
     def lose(self, names):
-        """Silence the store to some entries, and cut them off from the others."""
+        """Cut some entries off from the store and from the other entries."""
         self.fault(StoreFault.SILENT, names)
         for name in names:
             self.members[name].is_cut = True
 
     def known_after(self, check, names, most_s=8.0):
-        """Return the seconds until a check of their state holds for all of these entries."""
+        """Return the seconds until a check holds for the state of all of these entries."""
         begun_s = self.loop.now_s
         while self.loop.now_s - begun_s < most_s:
             if all(check(self.members[name].state) for name in names):
@@ -323,7 +324,7 @@
 
 
 class History:
-    """Acts on a fleet at random: what hosts, links, the store and the operator may do."""
+    """Applies random faults of hosts, links and the store, and random changes of settings."""
 
     FAULTS = (StoreFault.BUSY, StoreFault.SILENT, StoreFault.LATE)
 
@@ -373,17 +374,18 @@
 
 
 class RecordHistory(History):
-    """The same while endpoints come and go and an operator empties availability zones.
+    """Adds endpoints that join and leave, and an operator who evacuates availability zones.
 
     Attributes:
-        found: What an entry held that its own last confirmation rules out.
+        found: State of entries that contradicts their own last confirmation.
     """
 
-    # The age of the settings above which an entry may have missed what expired in an outage; with
-    # the two seconds in which an expired record comes back, and the way to all levels.
+    # Age of the settings above which an entry may have missed records that expired in an outage.
     MISSED_S = 1.9
+    # Includes the two seconds in which an expired record is rewritten, and the time until an update
+    # has reached all levels.
     KEPT_S = 2.8
-    # A waiting read that the store leaves without an answer is given up on after so long.
+    # Time after which a long poll without an answer is given up.
     HANGS_S = 5.0
     ZONES = ("a", "b", "c")
 
@@ -418,7 +420,7 @@
             self.advance(self.draw.choice((0.3, 1.0, 2.5)))
 
     def advance(self, duration_s):
-        """Let time pass while endpoints write their records again and again."""
+        """Let time pass while endpoints write their records repeatedly."""
         for _ in range(max(1, round(duration_s / 0.25))):
             for name in ("e1", "e2", "e3"):
                 self.world.endpoint(name)
@@ -426,7 +428,7 @@
             self.look()
 
     def one_by_one(self, some):
-        """An endpoint leaves in an outage, after which the store takes some hosts back late."""
+        """Let an endpoint leave in an outage, after which some hosts reconnect late."""
         self.heal(())
         name = self.join()
         self.world.fault(StoreFault.BUSY)
@@ -439,7 +441,7 @@
             self.world.fault(StoreFault.NONE, [name])
 
     def hold_while_zones_change(self, some):
-        """Messages wait in the sockets of some hosts, which ask their peers meanwhile."""
+        """Let messages wait in the sockets of some hosts, which ask their peers meanwhile."""
         self.hold(some)
         for _ in range(4):
             self.operator(some)
@@ -451,7 +453,7 @@
         self.world.fault(StoreFault.NONE)
 
     def leave(self, some):
-        """An endpoint comes, is known to all that can know of it, and leaves."""
+        """Let an endpoint join, become known to all reachable entries, and leave."""
         self.depart(self.join())
 
     def join(self):
@@ -466,7 +468,7 @@
         self.departed_s[name] = self.world.loop.world_s
 
     def operator(self, some):
-        """An operator empties a zone or takes it back, and may race himself."""
+        """Evacuate a zone or end its evacuation, possibly several times in quick succession."""
         for _ in range(self.draw.choice((1, 1, 2, 5))):
             zone = self.draw.choice(self.ZONES)
             is_evacuated = not self.zone_s.get(zone, (False, 0.0))[0]
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -13,8 +13,8 @@
 LEAVING = ("server-leaving: 1",)
 
 
-def saying(*extra, status="200 OK"):
-    """Return the script of an endpoint whose answers have these headers."""
+def responding(*extra, status="200 OK"):
+    """Return the script of an endpoint whose responses have these headers."""
 
     async def answer_with(answer, writer, number):
         writer.write(answer.whole(status=status, extra=extra))
@@ -24,20 +24,20 @@
 
 class TestLeaving:
     @pytest.mark.parametrize("status", [200, 204, 404, 429, 500, 503])
-    def test_any_answer_may_say_so(self, status):
+    def test_header_counts_with_any_status(self, status):
         assert is_leaving(status, [(b"server-leaving", b"1")])
 
     @pytest.mark.parametrize("value", [b"", b"0", b"no", b"-1", b"11", b"\xff"])
-    def test_other_values_say_nothing(self, value):
+    def test_other_values_are_ignored(self, value):
         assert not is_leaving(200, [(b"server-leaving", value)])
 
-    def test_another_endpoint_at_the_address_says_nothing_of_the_one_asked(self):
+    def test_misdirected_response_is_ignored(self):
         assert not is_leaving(421, [(b"server-leaving", b"1")])
 
-    def test_it_is_logged_once_and_kept_from_callers(self):
+    def test_it_is_logged_once_and_not_forwarded_to_callers(self):
         async def run():
             async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=saying(*LEAVING))
+                await world.add_endpoint("e1", script=responding(*LEAVING))
                 await world.known(1)
                 answers = [await world.ask(request_id="q1"), await world.ask(request_id="q2")]
                 return answers, world.lines.of("endpoint_leaving")
@@ -55,21 +55,21 @@
     @pytest.mark.parametrize(
         ("value", "pause_s"), [(b"3", 3.0), (b"0.25", 0.25), (b" 2 ", 2.0), (b"1e9", 3_600.0)]
     )
-    def test_endpoint_that_turns_a_request_away_may_ask_for_one(self, value, pause_s):
+    def test_retry_after_of_a_rejection_sets_it(self, value, pause_s):
         assert pause_s_of(503, [(b"retry-after", value)]) == pause_s
 
     @pytest.mark.parametrize(
         "value", [b"", b"0", b"-1", b"nan", b"soon", b"Wed, 21 Oct 2026 07:28:00 GMT", b"\xff"]
     )
-    def test_other_values_ask_for_none(self, value):
+    def test_other_values_set_none(self, value):
         assert pause_s_of(503, [(b"retry-after", value)]) == 0.0
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500])
-    def test_other_answers_ask_for_none(self, status):
+    def test_other_statuses_set_none(self, status):
         assert pause_s_of(status, [(b"retry-after", b"3")]) == 0.0
 
-    def test_endpoint_gets_nothing_until_it_is_over(self):
-        """Guards against requests that an endpoint has asked this host not to send."""
+    def test_endpoint_gets_no_requests_until_it_ends(self):
+        """Guards against sending requests that an endpoint has asked this host not to send."""
         registry = EndpointRegistry()
         registry.replace([endpoint("e1"), endpoint("e2")], 0.0)
         registry.find("e1").note_pause(3.0, 0.0)
@@ -81,7 +81,7 @@
         assert usable(2.9) == ["e2"]
         assert usable(3.0) == ["e1", "e2"]
 
-    def test_record_that_comes_back_does_not_end_it(self):
+    def test_rewritten_record_does_not_end_it(self):
         registry = EndpointRegistry()
         registry.put(endpoint("e1"), 0.0)
         registry.find("e1").note_pause(3.0, 0.0)
@@ -91,8 +91,8 @@
         assert registry.usable("engine", 2.0) == []
 
     def test_callers_are_served_elsewhere_or_told_when_it_ends(self):
-        """Guards against callers who are told to come back into the pause."""
-        paused = saying("x-not-executed: 1", "retry-after: 1", status="503 Busy")
+        """Guards against a Retry-After that lets callers retry during the pause."""
+        paused = responding("x-not-executed: 1", "retry-after: 1", status="503 Busy")
 
         async def run():
             async with open_world(route()) as world:
@@ -113,12 +113,12 @@
         assert "pause_s=1.0" in lines.of("endpoint_paused")[0]
 
     @pytest.mark.parametrize("opens_in_s", [0.0, 2.0])
-    def test_refused_caller_comes_back_when_an_endpoint_opens(self, opens_in_s):
+    def test_retry_after_of_a_refused_caller_ends_when_an_endpoint_opens(self, opens_in_s):
         pause_s = retry_after_s([], 30.0, random.Random(1), 0.0, opens_in_s)
 
         assert opens_in_s <= pause_s <= max(opens_in_s, 0.25) + 0.5
 
-    def test_endpoint_that_pauses_gets_no_more_than_what_was_on_its_way(self):
+    def test_pausing_endpoint_gets_only_requests_already_in_flight(self):
         world = PlatformWorld()
         try:
             world.advance(3.0)
@@ -134,7 +134,7 @@
 
 
 class TestOutage:
-    """An endpoint leaves while the store is out of reach, and says so in its answers."""
+    """An endpoint leaves while the store is unreachable, and says so in its responses."""
 
     def play(self, name, lapses):
         world = PlatformWorld()
@@ -146,12 +146,12 @@
             world.close()
 
     def test_it_gets_no_more_requests(self):
-        """Guards against an endpoint that is left to the store, which is away."""
+        """Guards against relying on the store, which is unreachable, to learn that it leaves."""
         assert self.play("o1", lapses=False) == []
 
     @pytest.mark.parametrize("name", ["o2", "f1"])
-    def test_record_that_comes_back_does_not_take_its_word_back(self, name):
-        """Guards against what an answer told being lost with the row of a record that lapsed."""
+    def test_rewritten_record_does_not_cancel_the_leaving(self, name):
+        """Guards against losing the leaving state when the endpoint's record expires."""
         assert self.play(name, lapses=True) == []
 
     def test_its_callers_are_served_elsewhere(self):
@@ -168,7 +168,7 @@
 
 
 class TestRegistry:
-    """What an endpoint has said of itself, against what records say of it."""
+    """State from an endpoint's responses takes precedence over its records."""
 
     def registry(self):
         registry = EndpointRegistry()
@@ -185,15 +185,15 @@
         assert self.usable(registry) == ["e2"]
         assert not registry.is_usable(registry.find("e1"))
 
-    def test_record_that_says_ready_changes_nothing(self):
+    def test_ready_record_changes_nothing(self):
         registry = self.registry()
         registry.put(endpoint("e1", sequence=2), 1.0)
         registry.replace([endpoint("e1", sequence=3), endpoint("e2")], 1.0)
 
         assert self.usable(registry) == ["e2"]
 
-    def test_record_that_goes_in_an_outage_has_not_lapsed(self):
-        """Guards against a departed endpoint that gets requests for two seconds more."""
+    def test_leaving_endpoint_is_not_kept_without_a_record(self):
+        """Guards against sending requests to a departed endpoint for two more seconds."""
         contact = StoreContact()
         contact.regained_s = 0.5
         registry = EndpointRegistry(contact)
@@ -206,28 +206,28 @@
         assert registry.find("e2") is not None
 
     @pytest.mark.parametrize("port", [9000, 9001], ids=["same-address", "other-address"])
-    def test_same_start_that_comes_back_still_leaves(self, port):
+    def test_rewritten_record_of_the_same_start_is_still_leaving(self, port):
         registry = self.registry()
         registry.remove("e1", 1.0)
         registry.put(endpoint("e1", port=port), 2.0)
 
         assert self.usable(registry) == ["e2"]
 
-    def test_start_that_is_born_later_is_not_bound_by_it(self):
+    def test_later_start_is_not_leaving(self):
         registry = self.registry()
         registry.put(endpoint("e1", born_ms=501), 1.0)
 
         assert self.usable(registry) == ["e2", "e1"]
 
-    def test_start_whose_record_is_read_late_is_bound_by_its_answers(self):
-        """Guards against an answer of a new start that is taken for one of the start before."""
+    def test_leaving_applies_to_a_start_whose_record_is_read_late(self):
+        """Guards against attributing a response of a new start to the previous start."""
         registry = self.registry()
         registry.put(endpoint("e1", born_ms=499), 1.0)
 
         assert self.usable(registry) == ["e2"]
 
-    def test_same_start_that_comes_back_is_known(self):
-        """Guards against a limit on a cold endpoint that is counted anew with its record."""
+    def test_rewritten_record_of_the_same_start_keeps_its_state(self):
+        """Guards against resetting the limit of a cold endpoint when its record is rewritten."""
         registry = self.registry()
         row = registry.find("e2")
         row.cold_sends_s.append(0.9)
@@ -240,7 +240,7 @@
         assert row.in_flight == 3
         assert row.serving_since_s == 1.1
 
-    def test_memory_of_departed_endpoints_is_bounded(self):
+    def test_number_of_remembered_departed_endpoints_is_bounded(self):
         registry = EndpointRegistry()
         for number in range(3_000):
             registry.put(endpoint(f"e{number}"), 0.0)
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of endpoints, evacuations and a store that rejects some hosts."""
+"""Random sequences of endpoint changes, evacuations and store faults on a simulated fleet."""
 
 import pytest
 
@@ -23,21 +23,21 @@
 
 class TestRecords:
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_what_is_confirmed_is_complete(self, seed):
+    def test_confirmed_records_are_complete(self, seed):
         assert play(seed) == []
 
     @pytest.mark.parametrize("entries", [1, 5, 68])
-    def test_size_of_the_fleet_changes_nothing(self, entries):
+    def test_records_are_complete_in_fleets_of_other_sizes(self, entries):
         assert play(3, entries) == []
 
 
 class TestOracle:
-    """Each safeguard that is taken out is found."""
+    """The checks of the histories fail if any one of the safeguards is removed."""
 
-    def finds(self):
+    def finds_violation(self):
         return any(play(seed) for seed in SEEDS)
 
-    def test_deadline_that_the_return_of_each_host_moves(self, monkeypatch):
+    def test_expiry_extended_by_each_reconnecting_host_is_detected(self, monkeypatch):
         def note_answer(self, asked_s, now_s):
             if self._has_failed:
                 self.regained_s = now_s
@@ -56,9 +56,9 @@
         monkeypatch.setattr(StoreContact, "note_update", note_update)
         monkeypatch.setattr(EndpointRegistry, "expire", expire)
 
-        assert self.finds()
+        assert self.finds_violation()
 
-    def test_expired_records_in_full_lists(self, monkeypatch):
+    def test_expired_records_in_full_lists_are_detected(self, monkeypatch):
         monkeypatch.setattr(
             EndpointWatcher,
             "records",
@@ -69,9 +69,9 @@
             ),
         )
 
-        assert self.finds()
+        assert self.finds_violation()
 
-    def test_older_word_on_zones(self, monkeypatch):
+    def test_older_evacuations_that_replace_newer_ones_are_detected(self, monkeypatch):
         replace = Evacuations.replace
         monkeypatch.setattr(
             Evacuations,
@@ -81,11 +81,11 @@
             ),
         )
 
-        assert self.finds()
+        assert self.finds_violation()
 
-    def test_zones_that_no_update_carries(self, monkeypatch):
+    def test_updates_without_evacuations_are_detected(self, monkeypatch):
         monkeypatch.setattr(
             "beryljunction.gateway.state.EntryState.replace_evacuations", lambda *_: None
         )
 
-        assert self.finds()
+        assert self.finds_violation()
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -1,4 +1,4 @@
-"""Each kind of knowledge reaches all sound entries within its own bound, whatever others say."""
+"""Settings, endpoints and addresses each reach all healthy entries within their own age limit."""
 
 import random
 import re
@@ -10,9 +10,9 @@
 from fanout_world import CountingStore, FleetWorld, StoreFault
 from platform_world import open_world, route
 
-# Long enough for every wait that began before an entry knew of the others to be over.
+# By then, every wait that began before an entry knew the others has ended.
 STARTED_S = 14.0
-# Two, three and four seconds, as deployments of three sizes have it.
+# The drain times of deployments of three sizes.
 BOUNDS = [HostBounds(drain_ms=2_000), HostBounds(drain_ms=3_000), HostBounds(drain_ms=4_000)]
 SHORT = BOUNDS[0]
 ENDPOINTS = "keyed.servers"
@@ -23,16 +23,16 @@
 
 
 def phases(count):
-    """Return moments within a round of reads at which the faults begin."""
-    draw = random.Random(2)
-    return [draw.random() * 2.0 for _ in range(count)]
+    """Return offsets within the interval between two reads at which the faults begin."""
+    rng = random.Random(2)
+    return [rng.random() * 2.0 for _ in range(count)]
 
 
-class TestCalm:
+class TestSteadyState:
     @pytest.mark.parametrize("bounds", BOUNDS)
     @pytest.mark.parametrize("entries", [4, 22, 350])
-    def test_no_entry_has_to_stand_in(self, entries, bounds):
-        """Guards against confirmations that reach an entry only once it reads for itself."""
+    def test_no_entry_falls_back_to_reading(self, entries, bounds):
+        """Guards against confirmations that arrive after an entry has begun to read the store."""
         with FleetWorld(entries, bounds=bounds) as world:
             world.advance(STARTED_S)
             names = world.in_order()
@@ -40,28 +40,28 @@
             world.advance(9.0)
             calls = [world.members[name].store.calls - before[name] for name in names]
 
-            # Readers behind the first have one waiting read each, of ten seconds.
+            # Each reader after the first has one long poll of ten seconds.
             assert max(calls[1:4]) <= 1
             assert sum(calls[4:]) == 0
             assert calls[0] > 0
 
 
 class TestLeavingEndpoint:
-    def test_changes_of_settings_do_not_vouch_for_records_of_endpoints(self):
-        """Guards against requests to an endpoint that leaves while settings change all the time."""
+    def test_settings_changes_do_not_confirm_endpoint_records(self):
+        """Guards against requests to an endpoint that leaves while settings constantly change."""
         for entries, phase_s in zip((4, 5, 22, 22), phases(4), strict=True):
             with FleetWorld(entries, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
                 first, *sound = world.in_order()
                 world.fault(StoreFault.SILENT, [first])
-                storm(world, 3.0)
+                write_settings_repeatedly(world, 3.0)
                 world.endpoint("e3", "draining")
 
-                assert known_after_storm(world, sound) <= SHORT.drain_ms / 1000
+                assert known_after_under_changes(world, sound) <= SHORT.drain_ms / 1000
 
     @pytest.mark.parametrize("entries", [4, 5, 22])
-    def test_hanging_read_of_the_first_reader_is_not_waited_for(self, entries):
-        """Guards against entries that vouch for records which they have not read."""
+    def test_hanging_read_of_the_first_reader_delays_no_entry(self, entries):
+        """Guards against entries that confirm records which they have not read."""
         for hung_s, phase_s in zip((0.2, 0.6, 1.0, 2.2), phases(4), strict=True):
             with FleetWorld(entries, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
@@ -74,8 +74,8 @@
 
     @pytest.mark.parametrize("entries", [5, 22, 68])
     @pytest.mark.parametrize("lost", [1, 2, 3])
-    def test_lost_readers_are_stood_in_for_in_time(self, entries, lost):
-        """Guards against turns of the stand-ins that are shares of another kind's bound."""
+    def test_lost_readers_are_replaced_in_time(self, entries, lost):
+        """Guards against fallback delays that are derived from another topic's age limit."""
         for seed, phase_s in enumerate(phases(4)):
             with FleetWorld(entries, seed=seed, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
@@ -86,7 +86,7 @@
                 assert world.known_after(is_leaving, names[lost:]) <= SHORT.drain_ms / 1000
 
     @pytest.mark.parametrize("bounds", BOUNDS)
-    def test_all_readers_lost(self, bounds):
+    def test_loss_of_all_readers_is_compensated_in_time(self, bounds):
         for seed, phase_s in enumerate(phases(4)):
             with FleetWorld(22, seed=seed, bounds=bounds) as world:
                 world.advance(STARTED_S + phase_s)
@@ -96,8 +96,8 @@
 
                 assert world.known_after(is_leaving, names[4:]) <= bounds.drain_ms / 1000
 
-    def test_entry_that_is_alone_reads_again_after_a_hanging_read(self):
-        """Guards against a rest after one lost answer that lasts until another topic is read."""
+    def test_single_entry_reads_again_after_a_hanging_read(self):
+        """Guards against a pause after one lost answer that lasts until another topic is read."""
         for phase_s in phases(12):
             with FleetWorld(1, bounds=SHORT) as world:
                 world.advance(STARTED_S)
@@ -108,8 +108,8 @@
 
                 assert world.known_after(is_leaving, names) <= SHORT.drain_ms / 1000
 
-    def test_answer_that_has_begun_is_waited_for(self, monkeypatch):
-        """Guards against many records on a thin link that are cut and read again and again."""
+    def test_response_that_has_begun_is_not_cancelled(self, monkeypatch):
+        """Guards against repeatedly cancelling a read of many records on a slow link."""
         read, body_s = CountingStore.read, 2.0
         receiving = set()
 
@@ -133,8 +133,8 @@
 
 
 class TestLog:
-    def test_send_names_the_age_of_the_endpoints_and_who_vouched_for_it(self):
-        """Guards against an on-call engineer who can't tell why a host sends to one that left."""
+    def test_sent_event_has_the_age_and_source_of_the_endpoints(self):
+        """An on-call engineer has to see why a host sent a request to an endpoint that left."""
 
         async def run():
             async with open_world(route()) as world:
@@ -149,7 +149,7 @@
         assert 0.0 <= float(sent["endpoints_age_s"]) < SHORT.drain_ms / 1000
         assert sent["endpoints_by"] == "store"
 
-    def test_entry_that_begins_to_stand_in_is_logged_once(self):
+    def test_fallback_to_reading_is_logged_once(self):
         with FleetWorld(4, bounds=SHORT) as world:
             world.advance(STARTED_S)
             first, second, *_ = world.in_order()
@@ -158,12 +158,12 @@
             before = events_of(events, "stands_in")
             world.advance(6.0)
 
-            # One line for settings, one for endpoints; each read after them is not one more.
+            # One line for settings and one for endpoints; later reads are not logged.
             assert events_of(events, "stands_in") - before == 2
 
 
 def events_of(events, name):
-    """Return how many events of a name there were."""
+    """Return the number of events of a name."""
     text = events.metrics.render().decode()
     found = re.search(rf'beryl_events_total{{event="{name}"}} (\S+)', text)
     return float(found[1]) if found else 0.0
@@ -172,8 +172,8 @@
 class TestSettings:
     @pytest.mark.parametrize("lost", [2, 3, 4])
     @pytest.mark.parametrize("entries", [5, 22])
-    def test_are_in_force_in_time_while_readers_are_lost(self, entries, lost):
-        """Guards against entries below lost readers that serve by old settings for too long."""
+    def test_take_effect_in_time_while_readers_are_lost(self, entries, lost):
+        """Guards against entries downstream of lost readers that use old settings for too long."""
         for seed, phase_s in enumerate(phases(12)):
             with FleetWorld(entries, seed=seed, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
@@ -188,16 +188,16 @@
                 assert known_s <= 2.0
 
 
-def storm(world, duration_s, gap_s=0.4):
-    """Write settings again and again."""
+def write_settings_repeatedly(world, duration_s, gap_s=0.4):
+    """Write new settings at a constant interval."""
     ends_s = world.loop.now_s + duration_s
     while world.loop.now_s < ends_s:
         world.configure()
         world.advance(gap_s)
 
 
-def known_after_storm(world, names):
-    """Return the seconds until all of these know that it leaves, while settings go on coming."""
+def known_after_under_changes(world, names):
+    """Return the seconds until these entries know that e3 leaves, while settings keep changing."""
     begun_s = world.loop.now_s
     while world.loop.now_s - begun_s < 8.0:
         world.configure()
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old, and gives offsets out again."""
+"""A store that is restored from a backup some seconds old, and then assigns offsets again."""
 
 import contextlib
 import copy
@@ -17,7 +17,7 @@
 from routing_fakes import endpoint, known
 
 STARTED_S = 8.0
-# Time in which an entry that came back has to have caught up, by the platform's promises.
+# Time within which the platform guarantees that a restarted entry has caught up.
 CAUGHT_UP_S = 4.0
 LAPSE_S = 2.0
 
@@ -29,8 +29,8 @@
     world.start("new", ("10.0.0.1", 5_000))
 
 
-def write_again(world):
-    """Let the operator and the endpoints write theirs again."""
+def rewrite_records(world):
+    """Let the operator and the endpoints write their records again."""
     world.configure()
     for name in ("e1", "e2", "e3", "late"):
         world.endpoint(name)
@@ -38,7 +38,7 @@
 
 
 def differing(world):
-    """Return the entries that don't hold the store's state."""
+    """Return the entries whose state differs from the store's."""
     names = {f"e{number}" for number in range(1, 4)} | {"late"}
     rows = []
     for row in world.members.values():
@@ -51,14 +51,14 @@
     return rows
 
 
-def drill_unseen(world):
-    """Let offsets be given out again while nobody reaches the store."""
+def restore_unseen(world):
+    """Restore the store and reassign offsets while no entry reaches it."""
     before = world.model.copy()
     change(world)
     world.advance(2.0)
     world.fault(StoreFault.BUSY)
     world.model.restore(before)
-    write_again(world)
+    rewrite_records(world)
     for _ in range(40):
         world.endpoint("e1")
     world.advance(0.5)
@@ -68,21 +68,21 @@
 
 class TestPosition:
     @pytest.mark.parametrize(("era", "offset"), [(0, 0), (0, 7), (3, 0), (65_535, (1 << 48) - 1)])
-    def test_era_and_offset_come_back(self, era, offset):
+    def test_round_trip(self, era, offset):
         position = position_of(era, offset)
 
         assert (era_of(position), offset_of(position)) == (era, offset)
 
-    def test_later_era_is_behind_every_earlier_position(self):
+    def test_later_era_sorts_after_every_earlier_position(self):
         assert position_of(1, 0) > position_of(0, 10**12)
 
-    def test_store_without_eras_has_plain_offsets(self):
+    def test_position_in_era_0_is_the_offset(self):
         assert position_of(0, 42) == 42
 
 
 class TestHttpStore:
     def play(self, play):
-        """Run against a stand-in whose topic of settings has three records."""
+        """Run against a fake store whose settings topic has three records."""
 
         async def run():
             stand_in = PlatformStoreStandIn()
@@ -104,8 +104,8 @@
         self.put = put
         return anyio.run(run)
 
-    def test_offset_that_was_given_out_again_is_not_read_on_from(self):
-        """Guards against records of a restored store that are taken for the end of another past."""
+    def test_read_from_a_reassigned_offset_expires(self):
+        """Guards against appending records of a restored store to those before the restoration."""
 
         async def play(stand_in, store):
             before = stand_in.model.copy()
@@ -128,7 +128,7 @@
         assert on == Records((), again.next_offset)
         assert problems == []
 
-    def test_offset_that_the_store_does_not_have_is_one_to_start_anew_from(self):
+    def test_read_from_an_offset_beyond_the_end_expires(self):
         async def play(stand_in, store):
             before = stand_in.model.copy()
             self.put(stand_in, "lost")
@@ -139,8 +139,8 @@
         assert self.play(play)[0] == Expired()
 
     @pytest.mark.parametrize("is_busy", [True, False])
-    def test_any_answer_ends_reads_that_wait_for_offsets_of_before(self, is_busy):
-        """Guards against a read that waits for an offset until it is given out again."""
+    def test_any_answer_of_a_new_era_ends_long_polls_of_the_old_one(self, is_busy):
+        """Guards against a long poll that waits until its offset is assigned again."""
 
         async def play(stand_in, store):
             end = (await store.newest(FLEET_CONFIG)).next_offset
@@ -154,14 +154,14 @@
                     group.start_soon(wait)
                     await anyio.sleep(0.1)
                     stand_in.model.restore(stand_in.model.copy())
-                    # A busy store ends the waiting read itself; else only the client can.
+                    # A busy store ends the long poll itself; otherwise only the client can.
                     stand_in.faults.busy = is_busy
                     await store.newest(FLEET_CONFIG)
             return found
 
         assert self.play(play)[0] == [Expired()]
 
-    def test_answer_from_before_is_dropped(self):
+    def test_late_answer_of_an_earlier_era_is_dropped(self):
         async def play(stand_in, store):
             await store.newest(FLEET_CONFIG)
             respond = stand_in._respond
@@ -195,7 +195,7 @@
         [None, b"", b"x", b"-1", b"1.5", b"70000", b"9" * 30, b"\xff"],
         ids=["missing", "empty", "text", "negative", "fraction", "huge", "endless", "bytes"],
     )
-    def test_era_that_can_not_be_meant_changes_nothing(self, header):
+    def test_missing_or_invalid_era_changes_nothing(self, header):
         async def play(stand_in, store):
             end = (await store.newest(FLEET_CONFIG)).next_offset
             self.headers = [] if header is None else [(b"Store-Era", header)]
@@ -207,7 +207,7 @@
         assert read == Records((), end)
         assert len(problems) == (0 if header is None else 1)
 
-    def test_era_that_falls_changes_nothing(self):
+    def test_lower_era_changes_nothing(self):
         async def play(stand_in, store):
             stand_in.model.era = 5
             end = (await store.newest(FLEET_CONFIG)).next_offset
@@ -221,7 +221,7 @@
         assert problems == ["expected era 5 or a later one, got 4"]
 
     def stream(self, original):
-        """Return the pool's call with other headers of the era."""
+        """Return the pool's `stream` with the era headers replaced."""
 
         @contextlib.asynccontextmanager
         async def stream(*args, **fields):
@@ -234,10 +234,10 @@
 
 
 class TestFleet:
-    """The store is away for a moment, and comes back without what was written last."""
+    """After a short outage, the store comes back without the latest records."""
 
-    def drill(self, world, lost_s=2.0, away_s=0.3):
-        """Let the store come back without the last seconds."""
+    def restore(self, world, lost_s=2.0, away_s=0.3):
+        """Let the store come back without the records of the last seconds."""
         before = world.model.copy()
         change(world)
         world.advance(lost_s)
@@ -247,61 +247,61 @@
         world.fault(StoreFault.NONE)
 
     @pytest.mark.parametrize("entries", [1, 4, 24, 68])
-    def test_all_hold_its_state_again(self, entries):
-        """Guards against entries that go on from offsets which are given out again."""
+    def test_all_entries_have_its_state_again(self, entries):
+        """Guards against entries that continue to read from reassigned offsets."""
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
-            self.drill(world)
+            self.restore(world)
             world.advance(0.5)
-            write_again(world)
+            rewrite_records(world)
             world.advance(CAUGHT_UP_S)
 
             assert differing(world) == []
             assert world.all_know(lambda state: state.era == 1)
 
-    def test_offsets_that_were_given_out_again_before_anybody_asked(self):
-        """Guards against an entry that reads on from where another past had ended."""
+    def test_offsets_reassigned_before_the_next_read(self):
+        """Guards against an entry that continues from its offset of before the restoration."""
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            drill_unseen(world)
+            restore_unseen(world)
 
             assert differing(world) == []
 
-    def test_second_drill_during_the_first_one_s_rebuilding(self):
+    def test_second_restoration_while_entries_recover_from_the_first(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             before = world.model.copy()
-            self.drill(world)
+            self.restore(world)
             world.advance(0.3)
-            write_again(world)
+            rewrite_records(world)
             world.model.restore(before)
             world.advance(0.5)
-            write_again(world)
+            rewrite_records(world)
             world.advance(CAUGHT_UP_S)
 
             assert differing(world) == []
             assert world.all_know(lambda state: state.era == 2)
 
-    def test_first_reader_dies_with_the_store(self):
+    def test_first_reader_is_killed_during_the_outage(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
             first = next(
                 row.name for row in world.members.values() if row.state.fan_out.is_first_reader
             )
-            self.drill(world)
+            self.restore(world)
             address = world.members[first].address
             world.kill(first)
             world.advance(0.5)
-            write_again(world)
+            rewrite_records(world)
             world.start(first, address)
             world.advance(2 * CAUGHT_UP_S)
 
             assert differing(world) == []
 
-    def test_settings_never_go_back(self):
+    def test_settings_never_revert(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            self.drill(world)
+            self.restore(world)
             version = world.version
             for _ in range(20):
                 world.advance(0.1)
@@ -309,10 +309,10 @@
                 rows = [row for row in world.members.values() if row.name != "new"]
                 assert all(row.state.config.version == version for row in rows)
 
-    def test_endpoint_that_is_missing_is_kept_until_it_can_have_written_again(self):
+    def test_missing_endpoint_is_kept_until_it_could_have_rewritten_its_record(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            self.drill(world, away_s=0.1)
+            self.restore(world, away_s=0.1)
             world.advance(0.8)
 
             assert world.all_know(lambda state: state.registry.find("late") is not None)
@@ -323,7 +323,7 @@
 
             assert world.all_know(lambda state: state.registry.find("late") is None)
 
-    def test_quarantine_is_written_again(self):
+    def test_quarantine_is_rewritten(self):
         with FleetWorld(4) as world:
             world.advance(STARTED_S)
             before = world.model.copy()
@@ -337,17 +337,17 @@
 
             assert "quarantine/d" in keys
 
-    def test_calls_of_the_fleet_after_a_drill_are_bounded(self):
-        """Guards against a fleet that presses on a store which has just come back."""
+    def test_number_of_calls_after_a_restoration_is_bounded(self):
+        """Guards against overloading a store that has just come back."""
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            self.drill(world)
+            self.restore(world)
 
             assert world.calls_in(1.0) < 24 * 10
 
 
 class TestRegistry:
-    def test_restoration_counts_as_a_return_of_the_store(self):
+    def test_restoration_is_treated_like_the_end_of_an_outage(self):
         contact = StoreContact()
         registry = EndpointRegistry(contact)
         registry.put(endpoint("e1"), 0.0)
@@ -359,18 +359,18 @@
 
 
 class TestSafeguards:
-    """Each safeguard is taken out alone, and the drill finds it."""
+    """Without any one of the safeguards, the entries do not recover."""
 
-    def holds(self):
+    def recovers(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            drill_unseen(world)
+            restore_unseen(world)
             return differing(world) == []
 
-    def test_all_of_them_hold(self):
-        assert self.holds()
+    def test_entries_recover_with_all_safeguards(self):
+        assert self.recovers()
 
-    def test_positions_without_an_era(self, monkeypatch):
+    def test_positions_without_an_era_are_detected(self, monkeypatch):
         monkeypatch.setattr(stores, "position_of", lambda era, offset: offset)
         monkeypatch.setattr(PlatformStoreModel, "era", 0, raising=False)
         monkeypatch.setattr(
@@ -379,9 +379,9 @@
             lambda self, earlier: setattr(self, "_parts", copy.deepcopy(earlier.parts)),
         )
 
-        assert not self.holds()
+        assert not self.recovers()
 
-    def test_own_record_that_is_not_written_again(self, monkeypatch):
+    def test_lost_record_that_is_not_rewritten_is_detected(self, monkeypatch):
         monkeypatch.setattr(Registration, "_find_lost_records", lambda self, keys: None)
 
-        assert not self.holds()
+        assert not self.recovers()
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -31,10 +31,10 @@
 
 
 class TestMessage:
-    def test_news_come_back(self):
-        told = news(*sessions(3), loads=[LOAD])
+    def test_round_trip(self):
+        message = news(*sessions(3), loads=[LOAD])
 
-        assert News.decode(told.encode()) == told
+        assert News.decode(message.encode()) == message
 
     @pytest.mark.parametrize(
         "rows",
@@ -50,7 +50,7 @@
             [["e1", 7, "chat"]] * 257,
         ],
     )
-    def test_moved_sessions_that_no_entry_writes_are_an_error(self, rows):
+    def test_invalid_moved_sessions_are_an_error(self, rows):
         values = {"host": "b", "life": "1", "loads": [], "moved": rows}
 
         with pytest.raises(ValueError):
@@ -72,28 +72,28 @@
             [["e1", 7, 3, 0.1]] * 257,
         ],
     )
-    def test_loads_that_no_entry_writes_are_an_error(self, rows):
+    def test_invalid_loads_are_an_error(self, rows):
         values = {"host": "b", "life": "1", "loads": rows, "moved": []}
 
         with pytest.raises(ValueError):
             News.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff"])
-    def test_bytes_that_are_none_are_an_error(self, data):
+    def test_malformed_message_is_an_error(self, data):
         with pytest.raises(ValueError):
             News.decode(data)
 
 
 @attrs.define
 class Link(PeerLink):
-    told: list = attrs.field(factory=list)
+    sent: list = attrs.field(factory=list)
     silent: set = attrs.field(factory=set)
 
     async def ask(self, address, version, offset):
         return "nothing known"
 
     async def tell(self, address, news):
-        self.told.append((address[0], News.decode(news)))
+        self.sent.append((address[0], News.decode(news)))
         return address[0] not in self.silent
 
     async def report(self, address, crashes):
@@ -108,47 +108,47 @@
 
 class TestShareNews:
     def share(self, *hosts):
-        """Return an entry's sharing with these peers, which it has greeted already."""
+        """Return an entry's `ShareNews` that has sent the first message to each of these peers."""
         self.state, self.link = entry_state(), Link()
         self.moved = self.state.moved
         self.peers = PeerTable(random.Random(1))
         for host in hosts:
             self.peers.put(host, (host, 1))
         share = ShareNews(self.link, self.state, self.peers, "1")
-        self.steps(share, len(hosts))
+        self.run_steps(share, len(hosts))
         return share
 
-    def steps(self, share, count):
+    def run_steps(self, share, count):
         async def run():
             for _ in range(count):
                 await share.step()
 
         anyio.run(run)
-        told, self.link.told = self.link.told, []
-        return [(host, len(news.moved)) for host, news in told if news.moved]
+        sent, self.link.sent = self.link.sent, []
+        return [(host, len(news.moved)) for host, news in sent if news.moved]
 
-    def test_each_peer_hears_all_once_in_turn(self):
+    def test_each_peer_gets_everything_once_in_turn(self):
         share = self.share("a", "b")
         for row in sessions(3):
             self.moved.note(row, 0.0)
 
-        assert self.steps(share, 4) == [("a", 3), ("b", 3)]
+        assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
 
         self.moved.note(SESSION, 0.0)
 
-        assert self.steps(share, 4) == [("a", 1), ("b", 1)]
+        assert self.run_steps(share, 4) == [("a", 1), ("b", 1)]
 
-    def test_peer_that_starts_again_hears_all_again(self):
-        """An entry is killed and starts again; it knows nothing of where sessions are."""
+    def test_restarted_peer_gets_everything_again(self):
+        """Guards against a restarted entry that has lost all session placements."""
         share = self.share("a", "b")
         self.moved.note(SESSION, 0.0)
-        self.steps(share, 2)
+        self.run_steps(share, 2)
 
         self.peers.put("a", ("a", 1))
 
-        assert self.steps(share, 2) == [("a", 1)]
+        assert self.run_steps(share, 2) == [("a", 1)]
 
-    def test_entry_that_starts_says_so_to_each_peer(self):
+    def test_starting_entry_sends_its_life_to_each_peer(self):
         share = self.share()
         for host in ("a", "b"):
             self.peers.put(host, (host, 1))
@@ -156,52 +156,52 @@
         anyio.run(share.step)
         anyio.run(share.step)
 
-        assert [(host, news.life) for host, news in self.link.told] == [("a", "1"), ("b", "1")]
+        assert [(host, news.life) for host, news in self.link.sent] == [("a", "1"), ("b", "1")]
 
-    def test_peer_that_says_it_is_new_hears_all_before_its_record_is_read(self):
-        """All entries of a zone are killed and come back.
+    def test_peer_with_a_new_life_gets_everything_before_its_record_is_read(self):
+        """Guards against prefilling moved chats again after all entries of a zone restart.
 
-        Their records in the store are read some seconds later. Until then chats that had moved
-        would come in by them and be read again, so their first word is enough.
+        Their records in the store are read only seconds later, so their first message has to be
+        enough to send them all session placements.
         """
         share = self.share("a", "b")
         self.moved.note(SESSION, 0.0)
-        self.steps(share, 2)
+        self.run_steps(share, 2)
 
         self.peers.greet("a", "2")
 
-        assert self.steps(share, 2) == [("a", 1)]
+        assert self.run_steps(share, 2) == [("a", 1)]
 
         self.peers.greet("a", "2")
 
-        assert self.steps(share, 2) == []
+        assert self.run_steps(share, 2) == []
 
-    def test_peer_that_was_cut_off_hears_what_it_missed(self):
-        """A link is cut while chats move, and whole again after some seconds.
+    def test_peer_that_was_cut_off_gets_what_it_missed(self):
+        """Guards against sending news only once, although the link is down for some seconds.
 
-        Told once, the peer would look for those chats at their homes for as long as they go on,
-        and have their prefixes read again.
+        The peer would send the moved chats to their default endpoints for as long as they last, and
+        their prefixes would be prefilled again.
         """
         share = self.share("a", "b")
         self.link.silent.add("a")
         for row in sessions(3):
             self.moved.note(row, 0.0)
 
-        assert self.steps(share, 4) == [("a", 3), ("b", 3)]
+        assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
 
         self.link.silent.clear()
         self.peers.greet("a", "1")
 
-        assert self.steps(share, 4) == [("a", 3)]
+        assert self.run_steps(share, 4) == [("a", 3)]
 
-    def test_much_that_was_missed_is_told_in_parts(self):
+    def test_large_backlog_is_sent_in_parts(self):
         share = self.share("a")
         for row in sessions(100):
             self.moved.note(row, 0.0)
 
-        assert self.steps(share, 5) == [("a", 32), ("a", 32), ("a", 32), ("a", 4)]
+        assert self.run_steps(share, 5) == [("a", 32), ("a", 32), ("a", 32), ("a", 4)]
 
-    def test_full_endpoints_are_told_and_emptier_ones_are_not(self):
+    def test_only_overloaded_endpoints_are_sent(self):
         share = self.share("a")
         for number, running in enumerate((2, 2, 9)):
             row = self.state.registry.put(endpoint(f"e{number}"), 0.0)
@@ -209,18 +209,18 @@
 
         anyio.run(share.step)
 
-        ((_, told),) = self.link.told
-        assert [(load.start[0], load.requests) for load in told.loads] == [("e2", 10)]
+        ((_, message),) = self.link.sent
+        assert [(load.start[0], load.requests) for load in message.loads] == [("e2", 10)]
 
-    def test_cost_does_not_grow_with_the_number_of_peers(self):
+    def test_number_of_messages_does_not_grow_with_the_number_of_peers(self):
         share = self.share(*(f"h{number}" for number in range(60)))
         self.moved.note(SESSION, 0.0)
 
-        assert len(self.steps(share, 8)) == 8
+        assert len(self.run_steps(share, 8)) == 8
 
 
 class TestPeerHandler:
-    def test_bad_messages_are_refused_and_good_ones_still_taken(self):
+    def test_invalid_messages_are_rejected_and_valid_ones_accepted(self):
         async def run():
             async with open_world(route()) as world:
                 state = world.entry._state
@@ -244,13 +244,13 @@
         assert good
         assert list(known) == [("e1", 7)]
 
-    def test_peer_that_does_not_answer_costs_a_moment(self):
+    def test_peer_that_does_not_answer_costs_only_the_timeout(self):
         async def run():
             async with open_world(route(), start=False) as world:
                 world.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    dark = await HttpPeerLink().tell(world.store_address, b"{}")
-                    gone = await HttpPeerLink().tell(("127.0.0.1", 1), b"{}")
-                return dark, gone
+                    silent = await HttpPeerLink().tell(world.store_address, b"{}")
+                    refused = await HttpPeerLink().tell(("127.0.0.1", 1), b"{}")
+                return silent, refused
 
         assert anyio.run(run) == (False, False)
