--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -208,7 +208,7 @@
             await self.step()
 
     async def step(self) -> None:
-        """Ask one peer if this entry's confirmations are too old."""
+        """Ask one peer if the last confirmation is so old that the store seems unreachable."""
         lease = self._state.lease
         if not needs_peers(self._config.age_s(boot_time_s()), lease.revocation_s):
             self._log_peer_confirmation(self._config.told_by)
