--- a/src/beryljunction/systems/requests/__init__.py
+++ b/src/beryljunction/systems/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request's path: admitted, queued, placed, tried again."""
+"""Placement, admission, queueing and retries of requests."""
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -1,7 +1,7 @@
-"""Whether a sidecar takes a request, lets it wait or refuses it.
+"""Admission control of a sidecar: start, queue or refuse a request.
 
-The sidecar knows what its endpoint runs, so the load bound, the fair queue and the refusals are
-decided here, without sockets and with the time handed in.
+The sidecar knows what its endpoint runs, so the load bound, the fair queue and refusals are decided
+here. The code uses no sockets, and callers pass in the time.
 """
 
 import heapq
@@ -23,12 +23,12 @@
 
 _PAUSED_RETRY_S = 1.0
 _SPILL_RETRY_S = 0.2
-_LEAST_RETRY_S = 0.2
-_MOST_RETRY_S = 30.0
-_WAIT_SHARE = 0.6
-# A request that finds room starts in the tick after its offer, which a busy loop delays.
-_START_GRACE_S = 0.1
-_LATE_SHARE = 0.1
+_MIN_RETRY_S = 0.2
+_MAX_RETRY_S = 30.0
+_MAX_QUEUE_RATIO = 0.6
+# An admitted request starts in the tick after its offer, and a busy event loop delays that tick.
+_MIN_WAIT_S = 0.1
+_DEADLINE_MARGIN_RATIO = 0.1
 
 
 @attrs.frozen
@@ -36,16 +36,17 @@
     """Limits of one endpoint, from the settings.
 
     Attributes:
-        load_multiple: Running work allowed here as a multiple of the service's mean.
-        cold_multiple: The same for requests that find nothing cached here.
-        floor_running: Requests that always may run, so that a small mean can't shut the endpoint.
-        max_running: Requests that the engine batches at the most.
-        max_waiting: Requests that wait here at the most, all accounts together.
-        max_waiting_per_account: The same for one client account.
+        load_multiple: Most running requests here, as a multiple of the service's mean.
+        cold_multiple: The same for requests without a cached prefix here.
+        floor_running: Requests that may always run, so that a small mean can't block the endpoint.
+        max_running: Largest batch of the engine, in requests.
+        max_waiting: Most waiting requests of all client accounts together.
+        max_waiting_per_account: Most waiting requests of one client account.
         quantum_tokens: Tokens that an account of weight one gains in each round.
-        peer_stale_s: Age from which a peer's load no longer counts.
-        reserve_share: Share of the bound kept for accounts below their fair share.
-        prefill_tokens_per_s: Speed of a cold prefill, which says what a warm endpoint saves.
+        peer_stale_s: Age from which a peer's load is ignored.
+        reserve_share: Share of the bound that is reserved for accounts below their fair share.
+        prefill_tokens_per_s: Prefill speed without a cached prefix, from which the time that a
+            cached prefix saves is computed.
     """
 
     load_multiple: float = 1.25
@@ -74,14 +75,14 @@
 
 @attrs.frozen
 class Start:
-    """The request goes to the engine now."""
+    """The request is sent to the engine now."""
 
     request_id: str
 
 
 @attrs.frozen
 class Wait:
-    """The request waits here; a later tick starts or refuses it."""
+    """The request is queued here; a later tick starts or refuses it."""
 
     request_id: str
 
@@ -98,14 +99,14 @@
 
 
 class AdmissionSystem:
-    """Admits, queues, starts and refuses the work of one endpoint.
+    """Admits, queues, starts and refuses the requests of one endpoint.
 
     Attributes:
-        weights: Weight of each client account; one for those not named.
-        account_waiting: Requests that an account may have waiting, where it differs from the limit.
-        leaving: Set when the endpoint is to get no new work.
-        paused: Why no new work is taken for a while; empty when it is taken. Other than a leaving
-            endpoint, one that loads a model will be back, so entries may ask again soon.
+        weights: Weight of each client account; accounts that are not listed have weight one.
+        account_waiting: Most waiting requests per account, where it differs from the limit.
+        leaving: Whether the endpoint gets no new requests because it leaves.
+        paused: Why new requests are refused for a while, such as a model load; empty when they are
+            accepted. Unlike a leaving endpoint, a paused one may be asked again soon.
     """
 
     def __init__(
@@ -130,7 +131,7 @@
 
     @property
     def limits(self) -> AdmissionLimits:
-        """Limits in force; setting them passes them on to the queue and the load bound."""
+        """Current limits; setting them also updates the queue and the load bound."""
         return self._limits
 
     @limits.setter
@@ -150,7 +151,7 @@
         if self.leaving:
             return self._refuse(work, RefusalCode.LEAVING, "the endpoint is leaving", None)
         if self.paused:
-            # Without its load, or it would look like the least loaded and be the last resort.
+            # Sent without the load: a paused endpoint would look like the least loaded one.
             refusal = Refusal(RefusalCode.OVERLOADED, self.paused, Ran.NO, _PAUSED_RETRY_S)
             return Refuse(work.request_id, refusal)
         moved = self._moved(work, now_s)
@@ -160,23 +161,23 @@
         bound = self.load.bound(now_s)
         is_final = work.last_resort or bound.full
         wait_s = self._wait_s(work, is_final)
-        if self._waits_in_vain(work, wait_s, now_s):
-            return self._refuse_full(work, now_s) if is_final else self._spill(work)
+        if self._queue_is_too_long(work, wait_s, now_s):
+            return self._refuse_full(work, now_s) if is_final else self._refuse_overloaded(work)
         if wait_s <= 0.0 and self._has_no_room(work, bound):
-            return self._spill(work)
-        work.give_up_s = min(self._last_start_s(work), now_s + max(wait_s, _START_GRACE_S))
+            return self._refuse_overloaded(work)
+        work.give_up_s = min(self._last_start_s(work), now_s + max(wait_s, _MIN_WAIT_S))
         self.requests.add(work)
         self.queue.add(work, self._weight(work.account))
         heapq.heappush(self._expiry, (work.give_up_s, work.request_id))
         return Wait(work.request_id)
 
     def tick(self, now_s: float) -> list[Start | Refuse]:
-        """Refuse what waited too long, then start what may start, fairly over accounts."""
+        """Refuse requests that waited too long, then start others, fairly over accounts."""
         decisions: list[Start | Refuse] = list(self._expire(now_s))
         self._note_load(now_s)
         bound = self.load.bound(now_s)
-        while self.requests.waiting_count and not self._over(bound):
-            work = self.queue.take(held_back=self._in_reserve(bound))
+        while self.requests.waiting_count and not self._is_over_bound(bound):
+            work = self.queue.take(held_back=self._only_reserve_left(bound))
             if work is None:
                 break
             self._start(work, now_s)
@@ -184,7 +185,7 @@
         return decisions
 
     def finish(self, request_id: str) -> Work | None:
-        """Forget a request that ended or was cancelled, waiting or running."""
+        """Remove a request that ended or was cancelled, whether it was waiting or running."""
         work = self.requests.remove(request_id)
         if work is None:
             return None
@@ -195,7 +196,7 @@
         return work
 
     def _moved(self, work: Work, now_s: float) -> Refuse | None:
-        """Point to where the chat's prefix lies; note what of it is cached here."""
+        """Refuse with a pointer if the chat's prefix is cached elsewhere, else note cached tokens."""
         row = self.pointers.look_up(work.chat_key, now_s)
         if row is not None and row.endpoint_id == self.pointers.endpoint_id:
             work.cached_tokens = min(row.tokens, work.prompt_tokens)
@@ -210,12 +211,11 @@
         )
         return Refuse(work.request_id, refusal)
 
-    def _waits_in_vain(self, work: Work, wait_s: float, now_s: float) -> bool:
-        """Tell whether the queue is full or too long for the time that the request may wait.
+    def _queue_is_too_long(self, work: Work, wait_s: float, now_s: float) -> bool:
+        """Return whether the queue is full or too long for the time that the request may wait.
 
-        Load: saturation. Harm: a request that waits as long as it may and is refused then has cost
-        its caller that time, and the queue that it stood in made others late too. The bounds keep
-        memory bounded; the estimate refuses what the queue ahead would make late.
+        The queue limits bound memory. The estimated wait refuses requests early under saturation:
+        one that waits its full time and is refused then wastes its caller's time and delays others.
         """
         row = self.queue.accounts.get(work.account)
         waiting = row.waiting_count if row is not None else 0
@@ -223,10 +223,10 @@
             return True
         if waiting >= self.account_waiting.get(work.account, self.limits.max_waiting_per_account):
             return True
-        return self._expected_wait_s(row, now_s) > _WAIT_SHARE * wait_s
+        return self._expected_wait_s(row, now_s) > _MAX_QUEUE_RATIO * wait_s
 
     def _expected_wait_s(self, row: AccountQueue | None, now_s: float) -> float:
-        """Return the wait that the account's own queue means; other accounts have their share."""
+        """Return the estimated wait in the account's own queue, given its fair share."""
         if row is None or row.waiting_count == 0:
             return 0.0
         return self._drain.wait_s(row.waiting_tokens, self.queue.share(row.weight), now_s)
@@ -234,24 +234,27 @@
     def _wait_s(self, work: Work, is_final: bool) -> float:
         """Return how long the request may wait here before another endpoint is better.
 
-        Waiting where the prefix is cached pays off no longer than the prefill that it saves. With
-        nowhere else to go, or the whole fleet at its limits, it may wait until its deadline.
+        Waiting for a cached prefix pays off only as long as the prefill that it saves. If no other
+        candidate is left or the whole fleet is at its limits, the request may wait until its
+        deadline.
         """
         if is_final:
             return self._last_start_s(work) - work.arrived_s
         return work.cached_tokens / self.limits.prefill_tokens_per_s
 
     def _last_start_s(self, work: Work) -> float:
-        """Return the time after which a start would bring no first token by the deadline.
+        """Return the latest start that still gives a first token by the deadline.
 
-        Load: saturation, where much of the work starts late. Harm: an answer that begins after its
-        deadline has taken a place in the batch from one that would have begun in time. A tenth of
-        the wait is left for other prefills under way, besides the request's own.
+        Under saturation, a request that starts too late takes a batch slot from one that would be
+        in time. Besides the request's own prefill, a tenth of the wait is kept free for other
+        prefills in progress.
         """
         cold_s = (work.prompt_tokens - work.cached_tokens) / self.limits.prefill_tokens_per_s
-        return work.deadline_s - cold_s - _LATE_SHARE * (work.deadline_s - work.arrived_s)
+        return (
+            work.deadline_s - cold_s - _DEADLINE_MARGIN_RATIO * (work.deadline_s - work.arrived_s)
+        )
 
-    def _over(self, bound: LoadBound) -> bool:
+    def _is_over_bound(self, bound: LoadBound) -> bool:
         requests = self.requests
         if requests.running_count >= bound.running:
             return True
@@ -259,31 +262,31 @@
         return requests.running_count >= floor and requests.running_tokens >= bound.work_tokens
 
     def _has_no_room(self, work: Work, bound: LoadBound) -> bool:
-        """Tell whether the request could not start in the next tick."""
-        if self._over(bound) or self._better_elsewhere(work, bound):
+        """Return whether the request can't start in the next tick."""
+        if self._is_over_bound(bound) or self._better_elsewhere(work, bound):
             return True
         row = self.queue.accounts.get(work.account)
-        return row is not None and self._in_reserve(bound) and self.queue.over_share(row)
+        return row is not None and self._only_reserve_left(bound) and self.queue.over_share(row)
 
     def _better_elsewhere(self, work: Work, bound: LoadBound) -> bool:
-        """Tell whether a request with nothing cached here should even out the load elsewhere.
-
-        Load: chats that return at different rates, so that equal shares of chats are unequal shares
-        of work. Harm: endpoints reach the bound with returning chats, which then lose their
-        prefix. New chats lose nothing by another endpoint, and come back to it later. They go on
-        from a tenth below the mean: at the mean itself half of the endpoints would take the first
-        one offered, and load would even out only after it had become uneven. Lower still, nearly
-        every new chat would walk past four endpoints.
+        """Return whether a request without a cached prefix should go to another endpoint.
+
+        Chats return at different rates, so equal shares of chats are unequal shares of load, and an
+        endpoint at its bound would turn away returning chats, which lose their cached prefix. New
+        chats lose nothing elsewhere and return there later. They are sent on from a tenth below the
+        mean: at the mean, half of the endpoints would accept the first new chat, and load would be
+        balanced only after it became uneven. At a lower threshold, nearly every new chat would try
+        four endpoints.
         """
         return work.cached_tokens == 0 and self.requests.running_count >= bound.cold_running
 
-    def _in_reserve(self, bound: LoadBound) -> bool:
-        """Tell whether what is left of the bound is kept for accounts below their fair share.
+    def _only_reserve_left(self, bound: LoadBound) -> bool:
+        """Return whether the free slots are reserved for accounts below their fair share.
 
-        Load: the surge of one account. Harm: it takes every slot, and then each small account's
-        request waits for one to fall free, however short its queue. A fiftieth is enough, since
-        the reserve is filled up first by each request that ends, and costs little, since a batch
-        that is a little smaller is also faster.
+        Without the reserve, a surge of one account takes every slot and each request of a small
+        account waits for a free one, however short its queue. A reserve of 2% is enough, because
+        each request that ends refills it first. It costs little, because a slightly smaller batch
+        is also faster.
         """
         reserve = math.ceil(self.limits.reserve_share * bound.running)
         only_one = len(self.queue.accounts) < 2
@@ -296,12 +299,12 @@
         self.pointers.placed(work.chat_key, self.pointers.endpoint_id, tokens, now_s)
 
     def _expire(self, now_s: float) -> list[Refuse]:
-        """Refuse what has waited as long as it may; a heap, so that no tick scans the queue."""
+        """Refuse requests whose wait is over; a heap avoids a scan of the queue in each tick."""
         refused = []
         while self._expiry and self._expiry[0][0] <= now_s:
             _, request_id = heapq.heappop(self._expiry)
             work = self.requests.get(request_id)
-            # A request that was cancelled and offered here again has an older row in the heap too.
+            # A request that was cancelled and offered again also has an older row in the heap.
             if work is None or work.started_s is not None or work.give_up_s > now_s:
                 continue
             self.finish(request_id)
@@ -323,20 +326,20 @@
     def _weight(self, account: str) -> float:
         return self.weights.get(account, 1.0)
 
-    def _spill(self, work: Work) -> Refuse:
+    def _refuse_overloaded(self, work: Work) -> Refuse:
         message = "above the load bound; another endpoint may have room"
         return self._refuse(work, RefusalCode.OVERLOADED, message, _SPILL_RETRY_S)
 
     def _refuse_full(self, work: Work, now_s: float) -> Refuse:
-        """Refuse with the time that the queue takes to drain, spread so that no two return at once.
+        """Refuse with the queue's drain time as retry delay, with random jitter.
 
-        Load: full saturation. Harm: callers that all come back at the same moment make the next
-        peak of their own.
+        Without jitter, callers refused under saturation would all retry at the same moment and
+        cause the next peak.
         """
         drain_s = self._expected_wait_s(self.queue.accounts.get(work.account), now_s)
-        retry_s = min(_MOST_RETRY_S, max(1.0, drain_s)) * self._rng.uniform(0.5, 1.5)
+        retry_s = min(_MAX_RETRY_S, max(1.0, drain_s)) * self._rng.uniform(0.5, 1.5)
         message = "the account's queue is full or too long for the deadline"
-        return self._refuse(work, RefusalCode.QUEUE_FULL, message, max(_LEAST_RETRY_S, retry_s))
+        return self._refuse(work, RefusalCode.QUEUE_FULL, message, max(_MIN_RETRY_S, retry_s))
 
     def _refuse(self, work: Work, code: RefusalCode, message: str, retry_s: float | None) -> Refuse:
         load = self.load.own_row() if code is RefusalCode.OVERLOADED else None
--- a/src/beryljunction/systems/requests/placement.py
+++ b/src/beryljunction/systems/requests/placement.py
@@ -1,7 +1,7 @@
-"""Where a request is tried, and in what order.
+"""Orders the endpoints to try for a request by rendezvous hashing.
 
-Placement needs membership only, never load: 350 entries that polled 700 endpoints would break the
-control budget at once. Load is bounded by the sidecar, which knows its own exactly.
+Placement uses membership only, not load: 350 entries polling 700 endpoints would exceed the budget
+for control traffic. Each sidecar bounds the load of its own endpoint, which it knows exactly.
 """
 
 import math
@@ -14,19 +14,19 @@
 __all__ = ["PlacementQuery", "PlacementSystem", "chat_key_of", "rendezvous_score"]
 
 _HASH_RANGE = float(2**64)
-_YOUNG_S = 60.0
+_DEFAULT_YOUNG_S = 60.0
 
 
 def chat_key_of(account: str, chat_id: str) -> int:
-    """Return the 64-bit key of a chat; accounts never share a key by choosing the same id."""
+    """Return the 64-bit key of a chat; the same chat id under two accounts gives two keys."""
     return xxhash.xxh3_64_intdigest(f"{account}\0{chat_id}".encode())
 
 
 def rendezvous_score(key: int, endpoint_id: str, weight: float) -> float:
-    """Return the weighted rendezvous score; the highest score is the key's home.
+    """Return the weighted rendezvous score; the endpoint with the highest score is the key's home.
 
-    A weight of w gets w times the keys of a weight of one, and a change of one endpoint moves only
-    the keys that it gains or loses.
+    An endpoint of weight w gets w times as many keys as one of weight one. A change of one endpoint
+    moves only the keys that this endpoint gains or loses.
     """
     digest = xxhash.xxh3_64_intdigest(endpoint_id.encode(), seed=key)
     return -weight / math.log((digest + 0.5) / _HASH_RANGE)
@@ -34,11 +34,11 @@
 
 @attrs.frozen
 class PlacementQuery:
-    """What placement has to know of a request.
+    """Properties of a request that placement depends on.
 
     Attributes:
-        key: Hash that decides the order: the chat's key, or one drawn for work without a chat.
-        hint: Endpoint id that an earlier answer named as the chat's place, if any.
+        key: Hash that decides the order: the chat's key, or a random one without a chat.
+        hint: Id of the endpoint that an earlier answer named for the chat, if any.
     """
 
     service: str
@@ -56,7 +56,7 @@
     """
 
     def __init__(
-        self, endpoints: EndpointTable, young_s: float = _YOUNG_S, region: str = ""
+        self, endpoints: EndpointTable, young_s: float = _DEFAULT_YOUNG_S, region: str = ""
     ) -> None:
         self._endpoints = endpoints
         self._region = region
@@ -65,12 +65,12 @@
     def candidates(self, query: PlacementQuery, now_s: float) -> list[Endpoint]:
         """Return the endpoints to try, best first.
 
-        Suspects go last instead of dropping out: a suspicion is one entry's own and may be wrong,
-        and with every endpoint suspected a try is still better than a refusal.
+        Suspects are last instead of removed: the suspicion of a single entry may be wrong, and if
+        every endpoint is suspect, a try is still better than a refusal.
 
-        Load: three regions that lose each other for an hour now and then. Harm: a chat whose home
-        lies in another region pays the way there for each token, and moves when the link is lost.
-        So a chat's home is in the region that it enters by; other regions take the overflow only.
+        Endpoints in this process's region come before those in other regions, which get the
+        overflow only: a home in another region adds latency to each token, and the chat would move
+        whenever the link between the regions is lost, which may be for an hour.
         """
         rows = [
             row
@@ -90,16 +90,16 @@
         return sorted(rows, key=rank)
 
     def home(self, query: PlacementQuery, now_s: float) -> Endpoint | None:
-        """Return the first in rendezvous order, which keeps the chat's pointer."""
+        """Return the first endpoint in rendezvous order, which stores the chat's pointer."""
         candidates = self.candidates(attrs.evolve(query, hint=None), now_s)
         return candidates[0] if candidates else None
 
     def previous_home(self, candidates: list[Endpoint], now_s: float) -> Endpoint | None:
-        """Return where a chat probably has its prefix while its home has only just (re)joined.
+        """Return the endpoint that probably has a chat's prefix if the home has just (re)joined.
 
-        Load: endpoints come and go. Harm: the home of a chat comes back empty, and its chats leave
-        the endpoint that served them meanwhile and start cold. The next candidate that was there
-        before is asked first, and takes the chat only if it has the prefix cached.
+        A home that comes back is empty, and its chats would leave the endpoint that served them
+        meanwhile and start cold. So the next candidate that was there before is asked first; it
+        accepts the chat only if it has the prefix cached.
         """
         if not candidates or now_s - candidates[0].joined_s >= self.young_s:
             return None
--- a/src/beryljunction/systems/requests/queueing.py
+++ b/src/beryljunction/systems/requests/queueing.py
@@ -1,4 +1,4 @@
-"""Which waiting request starts next: deficit round robin over client accounts."""
+"""Fair queueing of waiting requests: deficit round robin over client accounts."""
 
 import math
 
@@ -7,70 +7,70 @@
 __all__ = ["FairQueue"]
 
 
-# An account of no weight would gain nothing in any round and wait for ever.
-_LEAST_WEIGHT = 0.001
+# An account of weight zero would gain no tokens in any round and wait forever.
+_MIN_WEIGHT = 0.001
 
 
 class FairQueue:
     """Waiting requests of one endpoint, fair over client accounts in estimated tokens.
 
-    Load: one client account that sends many times what the others do. Harm: in one queue everybody
-    would wait behind it. Each account has a queue of its own and gains a quantum of tokens in each
-    round (Shreedhar and Varghese, 1995), so that an account waits for its own work only.
+    In a single queue, all accounts would wait behind one that sends many times more than the
+    others. So each account has its own queue and gains a quantum of tokens in each round (Shreedhar
+    and Varghese, 1995), and an account waits for its own requests only.
     """
 
     def __init__(self, requests: RequestTable, quantum_tokens: int) -> None:
         self.quantum_tokens = quantum_tokens
         self.accounts = AccountTable()
         self._requests = requests
-        self._order = 0
+        self._arrivals = 0
 
     def add(self, work: Work, weight: float) -> None:
         """Queue a request."""
-        row = self.accounts.open(work.account, max(_LEAST_WEIGHT, weight))
-        self._order += 1
-        row.push(work.request_id, work.priority, self._order)
+        row = self.accounts.open(work.account, max(_MIN_WEIGHT, weight))
+        self._arrivals += 1
+        row.push(work.request_id, work.priority, self._arrivals)
         row.waiting_count += 1
         row.waiting_tokens += work.cost_tokens
         if row.waiting_count == 1 and row not in self.accounts.ring:
             self.accounts.ring.append(row)
 
     def take(self, held_back: bool) -> Work | None:
-        """Return the request to start next, counted as running, or None.
+        """Remove and return the request to start next, or None, and count it as running.
 
         Args:
-            held_back: Only accounts below their fair share of what runs may start.
+            held_back: Whether only accounts below their fair share of running requests may start.
         """
-        work = self._pass(held_back)
+        work = self._scan_ring(held_back)
         if work is None and self._skip_rounds(held_back):
-            work = self._pass(held_back)
+            work = self._scan_ring(held_back)
         return work
 
     def drop(self, work: Work) -> None:
-        """Forget a request that waited and won't start; its row in the heap goes when on top."""
+        """Remove a waiting request; its heap item is removed when it reaches the top."""
         row = self.accounts.get(work.account)
         if row is not None:
             row.waiting_count -= 1
             row.waiting_tokens -= work.cost_tokens
-            self._settle(row)
+            self._remove_if_idle(row)
 
     def ended(self, work: Work) -> None:
         """Count a running request as ended."""
         row = self.accounts.get(work.account)
         if row is not None:
             row.running_count -= 1
-            self._settle(row)
+            self._remove_if_idle(row)
 
     def share(self, weight: float) -> float:
-        """Return the fair share of an account of this weight among those with work here."""
+        """Return the fair share of an account of this weight among the active accounts."""
         return weight / max(weight, self.accounts.active_weight)
 
     def over_share(self, row: AccountQueue) -> bool:
-        """Tell whether the account runs its fair share already."""
+        """Return whether the account already runs its fair share."""
         return row.running_count >= self.share(row.weight) * self._requests.running_count
 
-    def _pass(self, held_back: bool) -> Work | None:
-        """Go once around the ring; an account that can't pay passes its turn on."""
+    def _scan_ring(self, held_back: bool) -> Work | None:
+        """Visit each account in the ring once; skip those whose deficit is below the cost."""
         ring = self.accounts.ring
         for _ in range(len(ring)):
             row = ring[0]
@@ -86,10 +86,10 @@
         return None
 
     def _skip_rounds(self, held_back: bool) -> bool:
-        """Give each account the quanta of the rounds until one of them can pay.
+        """Add the quanta of all rounds until the first account can pay for its next request.
 
-        Going through the rounds one by one costs a pass over all accounts each, and a long request
-        needs many; the accounts end with the same deficits this way.
+        Single rounds would give the same deficits, but each one scans all accounts, and a long
+        request needs many rounds.
         """
         rounds = math.inf
         waiting: list[tuple[AccountQueue, float]] = []
@@ -119,8 +119,8 @@
         row.waiting_tokens -= work.cost_tokens
         row.running_count += 1
 
-    def _settle(self, row: AccountQueue) -> None:
-        """Forget an account without any work, and with it its deficit."""
+    def _remove_if_idle(self, row: AccountQueue) -> None:
+        """Remove an account without waiting requests from the ring and reset its deficit."""
         if row.waiting_count == 0 and row in self.accounts.ring:
             self.accounts.ring.remove(row)
             row.waiting.clear()
--- a/src/beryljunction/systems/requests/retries.py
+++ b/src/beryljunction/systems/requests/retries.py
@@ -1,21 +1,21 @@
-"""How many retries an entry may make."""
+"""Retry budget of an entry."""
 
 __all__ = ["RetryBudget"]
 
-_BUDGET_SHARE = 0.1
-_BUDGET_CAP = 10.0
+_BUDGET_RATIO = 0.1
+_MAX_BUDGET_RETRIES = 10.0
 
 
 class RetryBudget:
-    """Retries as a share of successes.
+    """Limits retries to a share of successful requests.
 
-    Load: every endpoint full or failing. Harm: each caller's request turns into as many as there
-    are candidates, and the retries keep the endpoints full when the demand has gone. Retries that
-    are paid for by successes keep the extra load at a tenth; the cap lets a short failure pass
-    unseen without saving up for a storm.
+    If every endpoint is full or failing, each request would be sent to every candidate, and the
+    retries would keep the endpoints full after the demand has dropped. Earning retries from
+    successes limits the extra load to a tenth. The cap is enough to hide a short failure but
+    prevents a retry storm from a saved-up budget.
     """
 
-    def __init__(self, share: float = _BUDGET_SHARE, cap: float = _BUDGET_CAP) -> None:
+    def __init__(self, share: float = _BUDGET_RATIO, cap: float = _MAX_BUDGET_RETRIES) -> None:
         self._share = share
         self._cap = cap
         self._tokens = cap
@@ -25,7 +25,7 @@
         self._tokens = min(self._cap, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry out of the budget; False when there is none left."""
+        """Take one retry from the budget; return False if it is empty."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/beryljunction/systems/requests/uploads.py
+++ b/src/beryljunction/systems/requests/uploads.py
@@ -1,4 +1,4 @@
-"""How many bytes of request bodies one entry takes in at the same time, fair over accounts."""
+"""Limit on the bytes of concurrent request bodies at one entry, fair over accounts."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.define(eq=False)
 class Upload:
-    """One body that is being received.
+    """One request body that is being received.
 
     Attributes:
-        held_bytes: Bytes that it counts for: what was announced, or what has arrived so far.
-        received_bytes: Bytes that have arrived.
+        held_bytes: Bytes reserved for the body: its announced length, or the bytes received so far.
+        received_bytes: Bytes received so far.
     """
 
     account: str
@@ -20,18 +20,18 @@
 
 
 class UploadSystem:
-    """Admits bodies before they are read.
+    """Admits request bodies before they are read.
 
-    Load: very many callers that send long dossiers at once, or one account that opens thousands of
-    slow uploads. Harm: without a bound over all of them the entry's memory goes first, and every
-    answer that it relays with it; with a plain bound one account fills it and all others are
-    refused. So an account may hold, beyond its first body, no more than its weight times what is
-    still free (the dynamic threshold of shared-memory switches). One account alone gets a half,
-    two get a third each, and something is always left for an account that comes later.
+    Without a total limit, many concurrent long bodies or thousands of slow uploads would exhaust
+    the entry's memory and break every answer that it relays. With a total limit only, one account
+    could use all of it and block the others. So beyond its first body an account may hold at most
+    its weight times the bytes that are still free (the dynamic threshold of shared-memory
+    switches). One account alone gets a half, two get a third each, and some space is always left
+    for another account.
 
     Attributes:
-        limit_bytes: Bytes of all bodies together.
-        held_bytes: Bytes that count at the moment.
+        limit_bytes: Most bytes of all bodies together.
+        held_bytes: Bytes reserved now.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -40,21 +40,21 @@
         self._by_account: dict[str, int] = {}
 
     def begin(self, account: str, announced_bytes: int, weight: float = 1.0) -> Upload | None:
-        """Admit a body; None when there is no room for it now.
+        """Admit a body, or return None if there is no room for it now.
 
-        A body of announced length counts whole from the start: to refuse it halfway would waste
-        what its caller has sent.
+        The full announced length is reserved at the start: a refusal halfway would waste the bytes
+        that the caller has sent.
         """
         upload = Upload(account, 0)
         return upload if self._hold(upload, announced_bytes, weight) else None
 
     def receive(self, upload: Upload, size_bytes: int, weight: float = 1.0) -> bool:
-        """Count bytes that have arrived; False when a body without a length finds no more room."""
+        """Count received bytes; return False if a body without a length exceeds the limit."""
         upload.received_bytes += size_bytes
         return self._hold(upload, upload.received_bytes - upload.held_bytes, weight)
 
     def end(self, upload: Upload) -> None:
-        """Give back what a body held, however its upload ended."""
+        """Release the bytes of a body, however its upload ended."""
         self.held_bytes -= upload.held_bytes
         left_bytes = self._by_account.get(upload.account, 0) - upload.held_bytes
         upload.held_bytes = 0
