--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -196,7 +196,7 @@
         return work
 
     def _moved(self, work: Work, now_s: float) -> Refuse | None:
-        """Refuse with a pointer if the chat's prefix is cached elsewhere, else note cached tokens."""
+        """Refer the chat to the endpoint that has its prefix; if that is this one, mark it warm."""
         row = self.pointers.look_up(work.chat_key, now_s)
         if row is not None and row.endpoint_id == self.pointers.endpoint_id:
             work.cached_tokens = min(row.tokens, work.prompt_tokens)
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -222,7 +222,7 @@
         return Try(best, last_resort=True, ignore_pointer=True, loads=tuple(self._loads.values()))
 
     def _time_to_drain(self, row: Endpoint) -> float:
-        """Return the endpoint's requests divided by its speed, so that a slow one counts as loaded."""
+        """Return requests divided by speed, so that a slow endpoint is not the least loaded."""
         load = self._loads.get(row.endpoint_id)
         if load is None:
             return math.inf
--- a/src/beryljunction/systems/state/__init__.py
+++ b/src/beryljunction/systems/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is remembered so that nothing runs twice and chats find their prefix."""
+"""State for at-most-once execution and for routing chats to their cached prefix."""
--- a/src/beryljunction/systems/state/claims.py
+++ b/src/beryljunction/systems/state/claims.py
@@ -1,13 +1,13 @@
-"""Callers that send only an ``Idempotency-Key``: the first claim in log order gets the key.
+"""Claims of an ``Idempotency-Key`` sent without a ticket: the first claim in log order wins.
 
-A key is free text that a caller may send through any entry, so no process knows by itself whether
-it is new. The one order that all share is that of the platform's log. A claim names the ticket
-that the request runs under; whoever reads the log finds the same first claim and so the same
-ticket, and the ticket's sidecar sees to at most once (docs/design/at-most-once.md).
+A key is free text that a caller may send through any entry, so no process can tell alone whether it
+is new. The order of the platform's log decides, which is the same for all. A claim names the ticket
+that the request runs under. Every reader of the log finds the same first claim and thus the same
+ticket, whose sidecar ensures at-most-once execution (docs/design/at-most-once.md).
 
-Claims go to one of a few streams by their key. The sidecar that is the key's rendezvous home makes
-them, so that few processes read each stream and many claims share an append. Homes may disagree:
-that costs an append and never a second run, since the order of the log decides.
+A hash of the key selects one of a few log streams. The sidecar that is the key's rendezvous home
+appends the claim, so that few processes read each stream and many claims share an append. If two
+processes disagree on the home, that costs an append but never a second run.
 """
 
 from collections import deque
@@ -29,23 +29,23 @@
 
 __all__ = ["ClaimLimits", "ClaimSystem"]
 
-_LIFE_SHARE = 0.5
+_LIFE_RETENTION_RATIO = 0.5
 
 
 @attrs.frozen
 class ClaimLimits:
-    """Bounds of one stream's claims at one process.
+    """Limits of one stream's claims in one process.
 
     Attributes:
         life_s: Time for which a key belongs to its first request; see :meth:`within`.
             Shorter than a ticket's, so that the ticket is still known when its key is used again.
-        max_keys: Keys remembered. At the target's 64 streams, 800 claims a second fleet-wide and
-            half an hour of life a stream has 22,500.
-        batch_claims: Claims in one append.
-        append_gap_s: Time between appends, so that 64 streams stay within 320 appends a second of
-            the several hundred that the log takes.
+        max_keys: Most keys stored. At the target of 64 streams, 800 claims per second in the fleet
+            and a key life of half an hour, a stream has 22,500.
+        batch_claims: Most claims in one append.
+        append_gap_s: Least time between appends, so that 64 streams make at most 320 appends per
+            second of the several hundred that the log accepts.
         wait_s: Longest wait for a verdict.
-        down_s: After a failed append or read, claims are refused at once for this long.
+        down_s: Time after a failed append or read for which claims are refused at once.
     """
 
     life_s: float = 1800.0
@@ -57,31 +57,31 @@
 
     @classmethod
     def within(cls, retention_s: float) -> "ClaimLimits":
-        """Return the limits for a log that keeps records for so long.
+        """Return the limits for a log with this retention.
 
-        A home that starts anew knows the keys whose claims the log still keeps. A key that
-        outlived its claim would be new there and known elsewhere, and its request would run twice.
-        Half of the retention leaves room for a log that drops a little early, in whole segments,
-        and for claims that were read late.
+        A home that restarts knows only the keys whose claims are still in the log. A key that
+        outlived its claim would be new there but known elsewhere, and its request would run twice.
+        Half of the retention allows for a log that drops whole segments a little early, and for
+        claims that were read late.
         """
         limits = cls()
-        life_s = min(limits.life_s, _LIFE_SHARE * retention_s)
+        life_s = min(limits.life_s, _LIFE_RETENTION_RATIO * retention_s)
         return attrs.evolve(limits, life_s=life_s)
 
 
 @attrs.define
-class _Pending:
+class _PendingClaim:
     request_id: str
     claim: KeyClaim
     give_up_s: float
 
 
 class ClaimSystem:
-    """Claims on one stream of the log: batches out, records in, verdicts out.
+    """Appends claims to one stream of the log in batches and derives verdicts from its records.
 
-    A verdict comes from reading alone. An append's answer says nothing that the log doesn't, so a
-    lost answer needs no case of its own: claims that still wait are appended again in a later
-    batch, and of two copies of a claim the second claims nothing.
+    Verdicts come only from records that were read. So a lost answer to an append needs no special
+    case: pending claims are appended again in a later batch, and a second copy of a claim has no
+    effect.
     """
 
     def __init__(self, name: str, limits: ClaimLimits | None = None) -> None:
@@ -89,8 +89,8 @@
         self.next_offset = 0
         self._name = name
         self._batches = 0
-        self._held = HeldKeys(self.limits.max_keys)
-        self._pending: dict[str, _Pending] = {}
+        self._held_keys = HeldKeys(self.limits.max_keys)
+        self._pending: dict[str, _PendingClaim] = {}
         self._queue: deque[str] = deque()
         self._in_flight: ClaimBatch | None = None
         self._next_append_s = 0.0
@@ -98,29 +98,29 @@
         self._now_s = 0.0
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._held_keys)
 
     def submit(self, request_id: str, claim: KeyClaim, now_s: float) -> KeyVerdict | None:
-        """Take a claim; None when its verdict has to come from the log.
+        """Submit a claim; return its verdict, or None if it has to come from the log.
 
-        A key that is known here is settled at once, also while the log is down: the first claim
-        of a key never changes. An unknown key is refused at once while the log is down; holding
-        the caller until its deadline would gain it nothing.
+        A key that is known here gets its verdict at once, even while the log is down, because the
+        first claim of a key never changes. While the log is down an unknown key is refused at once,
+        because waiting until the deadline would not help the caller.
         """
-        now_s = self._forward(now_s)
-        winner = self._held.winner(claim.key, now_s)
+        now_s = self._advance_clock(now_s)
+        winner = self._held_keys.winner(claim.key, now_s)
         if winner is not None:
             return self._verdict(claim, winner)
-        down_s = max(self._down_until_s, self._held.blind_until_s) - now_s
+        down_s = max(self._down_until_s, self._held_keys.blind_until_s) - now_s
         if down_s > 0.0:
             return KeyUnavailable(down_s)
-        self._pending[request_id] = _Pending(request_id, claim, now_s + self.limits.wait_s)
+        self._pending[request_id] = _PendingClaim(request_id, claim, now_s + self.limits.wait_s)
         self._queue.append(request_id)
         return None
 
     def next_batch(self, now_s: float) -> ClaimBatch | None:
-        """Return the batch to append now, if one is due; one append is under way at a time."""
-        now_s = self._forward(now_s)
+        """Return the batch to append now, or None; only one append is in progress at a time."""
+        now_s = self._advance_clock(now_s)
         if self._in_flight is not None or now_s < max(self._next_append_s, self._down_until_s):
             return None
         claims: list[KeyClaim] = []
@@ -136,9 +136,9 @@
         return self._in_flight
 
     def append_ended(self, batch: ClaimBatch, is_sure: bool, now_s: float) -> None:
-        """Note how an append ended; ``is_sure`` when the log said that it took the batch.
+        """Record the result of an append; ``is_sure`` means that the log confirmed the batch.
 
-        After a failure or a lost answer the claims that still wait are queued again.
+        After a failure or a lost answer the claims that are still pending are queued again.
         """
         if self._in_flight is None or self._in_flight.batch_id != batch.batch_id:
             return
@@ -151,29 +151,29 @@
         self._queue.extendleft(reversed(again))
 
     def log_failed(self, now_s: float) -> None:
-        """Note that the log could not be read or appended to."""
-        self._down_until_s = self._forward(now_s) + self.limits.down_s
+        """Record that a read from or an append to the log failed."""
+        self._down_until_s = self._advance_clock(now_s) + self.limits.down_s
 
     def apply(self, offset: int, record: Any, now_s: float) -> None:
-        """Take in the next record; records before the last one applied are ignored.
+        """Apply the next record; records that were already applied are ignored.
 
-        A jump ahead means that the log has dropped records past its retention, whose keys are
-        past their life too.
+        A gap in the offsets means that the log dropped records past its retention, whose keys have
+        expired too.
         """
         if offset < self.next_offset:
             return
         self.next_offset = offset + 1
-        until_s = self._forward(now_s) + self.limits.life_s
+        until_s = self._advance_clock(now_s) + self.limits.life_s
         for claim in claims_of(record):
-            self._held.hold(claim, until_s)
+            self._held_keys.hold(claim, until_s)
 
     def tick(self, now_s: float) -> list[tuple[str, KeyVerdict]]:
-        """Return the verdicts that are due, by request id."""
-        now_s = self._forward(now_s)
-        self._held.expire(now_s)
+        """Return pairs of request id and verdict for the claims that are decided or timed out."""
+        now_s = self._advance_clock(now_s)
+        self._held_keys.expire(now_s)
         verdicts: list[tuple[str, KeyVerdict]] = []
         for pending in self._pending.values():
-            winner = self._held.winner(pending.claim.key, now_s)
+            winner = self._held_keys.winner(pending.claim.key, now_s)
             if winner is not None:
                 verdicts.append((pending.request_id, self._verdict(pending.claim, winner)))
             elif now_s >= pending.give_up_s:
@@ -190,6 +190,6 @@
             return KeyMismatch()
         return KeyLost(winner.ticket)
 
-    def _forward(self, now_s: float) -> float:
+    def _advance_clock(self, now_s: float) -> float:
         self._now_s = max(self._now_s, now_s)
         return self._now_s
--- a/src/beryljunction/systems/state/forward.py
+++ b/src/beryljunction/systems/state/forward.py
@@ -1,4 +1,4 @@
-"""Time of one sidecar that only goes forward, and what it says of things issued under it."""
+"""Clock of one sidecar that never goes back, and the validity of times issued by it."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Window(enum.StrEnum):
-    """Where something issued under a clock's time stands now."""
+    """Validity of a time issued by the clock."""
 
     OPEN = "open"
     CLOSED = "closed"
@@ -19,14 +19,15 @@
 class ForwardClock:
     """Milliseconds since the start of one incarnation; they never go back.
 
-    Tickets and request ids are judged by this time alone, and entries copy it from the sidecar's
-    last message instead of reading a clock of their own. So neither a host clock that is set back
-    nor an entry with a wrong clock can make an expired ticket valid again. The shell hands in the
-    boot time clock (CLOCK_BOOTTIME): it goes on while the process is stopped and while the host is
-    suspended, and nobody sets it.
+    Only this clock decides whether tickets and request ids have expired. Entries copy its time from
+    the sidecar's last message instead of reading their own clock, so neither a host clock that is
+    set back nor an entry with a wrong clock can make an expired ticket valid again. The caller
+    passes in CLOCK_BOOTTIME, which keeps running while the process is stopped or the host is
+    suspended and can't be set.
 
     Attributes:
-        closed_ms: Things issued up to here that left no row are refused for ever.
+        closed_ms: Tickets and request ids issued up to this time that have no row are refused
+            forever.
     """
 
     def __init__(self, started_s: float, life_s: float) -> None:
@@ -41,39 +42,39 @@
         return self._life_ms
 
     def read_ms(self, now_s: float) -> int:
-        """Return the time; a clock that was set back stands still until it has caught up."""
+        """Return the time; if ``now_s`` goes back, the time stays the same until it catches up."""
         self._latest_ms = max(self._latest_ms, int((now_s - self._started_s) * _MS))
         return self._latest_ms
 
     def issue_ms(self, now_s: float) -> int:
-        """Return the time to put on what is issued now; always later than what was closed."""
+        """Return the issue time for a ticket or stamp; always later than ``closed_ms``."""
         return max(self.read_ms(now_s), self.closed_ms + 1)
 
     def close(self, now_s: float) -> None:
-        """Refuse for ever whatever was issued up to now and left no row.
+        """Refuse forever everything that was issued up to now and has no row.
 
-        A full table can't remember what it refuses. One number remembers it for all of them, at
-        the cost of the unused tickets of others, which are refused as "not run" too.
+        A full table can't store what it refuses, so this single time stands for all of it. The cost
+        is that unused tickets of other requests are refused as "not run" too.
         """
         self.closed_ms = self.issue_ms(now_s)
 
     def sent_ms(self, issued_ms: int, age_s: float, now_s: float) -> int:
-        """Return when a message was sent, by this clock, whoever sent it.
+        """Return when a message was sent, in the time of this clock.
 
-        The sender names the last time that it heard from here and how long ago that was by its own
-        monotonic clock. Clocks need not agree for that, only run at about the same rate. So the
-        time that a message spent in a silent connection, or in the socket of a process that was
-        paused, counts against its deadline.
+        The sender gives the last time that it received from this clock and its age by the sender's
+        monotonic clock. So the clocks need not be synchronized, but only run at about the same
+        rate, and time that a message spent in a stalled connection or in the socket buffer of a
+        paused process counts against its deadline.
 
         Args:
-            issued_ms: Time of this clock that the sender heard last.
-            age_s: Seconds from then to the sending.
-            now_s: Time handed in.
+            issued_ms: Time of this clock that the sender received last.
+            age_s: Seconds from then until the message was sent.
+            now_s: Current time.
         """
         return min(self.read_ms(now_s), issued_ms + max(0, int(age_s * _MS)))
 
     def judge(self, issued_ms: int, now_s: float) -> Window:
-        """Return where something issued at ``issued_ms`` stands when it left no row."""
+        """Return the validity of something issued at ``issued_ms`` that has no row."""
         if issued_ms > self.issue_ms(now_s):
             return Window.NEVER_ISSUED
         if issued_ms + self._life_ms < self.read_ms(now_s):
--- a/src/beryljunction/systems/state/held_keys.py
+++ b/src/beryljunction/systems/state/held_keys.py
@@ -9,7 +9,7 @@
 
 @attrs.define
 class HeldClaim:
-    """A claim that was read; kept small, since a stream at the target has some 22,500."""
+    """A claim that was read; kept small, since a stream has about 22,500 at the target load."""
 
     body: str
     ticket: str
@@ -18,7 +18,7 @@
     behind: "HeldClaim | None" = None
 
     def queue(self, other: "HeldClaim") -> None:
-        """Put a later claim behind this one; another copy of a claim changes nothing."""
+        """Append a later claim to this key's list; a second copy of a claim is ignored."""
         row = self
         while row.ticket != other.ticket:
             if row.behind is None:
@@ -28,10 +28,10 @@
 
 
 class HeldKeys:
-    """The first claim on each key, with later ones behind it; bounded.
+    """Bounded table of the first claim on each key, with later claims linked to it.
 
     Attributes:
-        blind_until_s: Until then a key that is not held may still have been claimed.
+        blind_until_s: Time until which a key that is not in the table may have been claimed.
     """
 
     def __init__(self, max_keys: int) -> None:
@@ -43,32 +43,32 @@
         return len(self._rows)
 
     def hold(self, claim: KeyClaim, until_s: float) -> None:
-        """Remember a claim behind the earlier ones on its key.
+        """Store a claim after the earlier ones on its key.
 
-        A reader that started later holds the first claim for longer. So when it ends there, the
-        next one has to be known, or two readers would see two different tickets as the key's.
+        A reader that started later keeps the first claim longer. When a claim expires the next one
+        must be known, or two readers would take different tickets for the key's.
         """
         first = self._rows.get(claim.key)
         if first is not None:
             first.queue(HeldClaim(claim.body, claim.ticket, until_s, 0.0))
             return
         if len(self._rows) >= self._max_keys:
-            # A key that was not remembered would look new. So none counts as new until the
-            # forgotten one is past its life.
+            # A key that was not stored would look new, so no key counts as new until this claim
+            # has expired.
             self.blind_until_s = until_s
             return
         self._rows[claim.key] = HeldClaim(claim.body, claim.ticket, until_s, self.blind_until_s)
 
     def winner(self, key: str, now_s: float) -> HeldClaim | None:
-        """Return the first claim on a key, or None when none is known for sure."""
+        """Return the first claim on a key, or None if none is known for certain."""
         row = self._rows.get(key)
         return row if row is not None and now_s >= row.sure_s else None
 
     def expire(self, now_s: float) -> None:
-        """Drop claims past their life, oldest key first.
+        """Drop expired claims, oldest key first.
 
-        A claim that waited behind another goes to the end of the table, and so may be held a
-        little longer than its life; that is on the safe side.
+        A claim that follows an expired one moves to the end of the table, so it may be kept a
+        little longer than its life, which is safe.
         """
         while self._rows:
             key, row = next(iter(self._rows.items()))
--- a/src/beryljunction/systems/state/key_claims.py
+++ b/src/beryljunction/systems/state/key_claims.py
@@ -1,4 +1,4 @@
-"""Claims on idempotency keys as they stand on the log, and what is said of them."""
+"""Claims on idempotency keys: their log records, verdicts and refusals."""
 
 import hashlib
 import json
@@ -22,27 +22,27 @@
     "key_refusal",
 ]
 
-_DIGEST_HEX = 24
+_DIGEST_HEX_DIGITS = 24
 
 
 def key_digest(account: str, service: str, key: str) -> str:
-    """Return the digest that stands for a key; accounts and services never share one."""
+    """Return the digest of a key within its account and service."""
     text = json.dumps([account, service, key]).encode()
-    return hashlib.sha256(text).hexdigest()[:_DIGEST_HEX]
+    return hashlib.sha256(text).hexdigest()[:_DIGEST_HEX_DIGITS]
 
 
 def claim_shard(digest: str, shards: int) -> int:
-    """Return the number of the log stream that a key's claims go to.
+    """Return the number of the log stream for a key's claims.
 
-    It depends on the key alone, not on the body: the same key with another body must meet the
-    first claim, or it would run instead of being refused.
+    It does not depend on the body: a claim of the same key with another body must find the first
+    claim, or the request would run instead of being refused.
     """
     return int(digest[:8], 16) % shards
 
 
 @attrs.frozen
 class KeyClaim:
-    """One request's claim on its key: the ticket that it runs under if the claim is the first."""
+    """A request's claim on its key; ``ticket`` is used if the claim is the first."""
 
     key: str
     body: str
@@ -54,7 +54,7 @@
     """Claims that share one append.
 
     Attributes:
-        batch_id: Unique over all processes and their starts.
+        batch_id: Unique over all processes and restarts.
     """
 
     batch_id: str
@@ -66,7 +66,7 @@
 
 
 def claims_of(record: Any) -> list[KeyClaim]:
-    """Return the claims in a record; one that can't be read claims nothing, for every reader."""
+    """Return the claims in a record; malformed ones are ignored, by every reader alike."""
     try:
         rows = [KeyClaim(*row) for row in record["claims"]]
     except (KeyError, TypeError):
@@ -76,14 +76,14 @@
 
 @attrs.frozen
 class KeyWon:
-    """The claim is the first: claim the ticket and run."""
+    """The claim is the first: claim its ticket and run the request."""
 
     ticket: str
 
 
 @attrs.frozen
 class KeyLost:
-    """The key belongs to an earlier request with the same body; go on with its ticket."""
+    """The key belongs to an earlier request with the same body; use that request's ticket."""
 
     ticket: str
 
@@ -95,7 +95,7 @@
 
 @attrs.frozen
 class KeyUnavailable:
-    """The log could not settle the claim in time; this try will not run."""
+    """The log gave no verdict in time; this try will not run."""
 
     retry_after_s: float
 
@@ -104,12 +104,12 @@
 
 
 def key_refusal(verdict: KeyLost | KeyMismatch | KeyUnavailable) -> Refusal:
-    """Return what the entry is told when the request does not go on at this sidecar.
+    """Return the refusal for the entry when the request does not run at this sidecar.
 
-    Load: an outage of the log. Harm: an earlier try under the key may have run, and only the log
-    could tell; a bare "no" would send the caller off to ask again under a new key, and the request
-    would run twice. So the key's outcome is "unknown". This try proves to be "no", since no byte
-    of it has left the entry: a caller that knows it to be its first may act on that.
+    While the log is down, an earlier try under the key may have run. A plain "no" would let the
+    caller retry under a new key, and the request could run twice, so the key's outcome is
+    "unknown". For this try alone ``try_ran`` is "no", because none of its bytes left the entry: a
+    caller that knows it to be its first may rely on that.
     """
     if isinstance(verdict, KeyLost):
         message = "the key belongs to an earlier try; go on with its ticket"
--- a/src/beryljunction/systems/state/pointers.py
+++ b/src/beryljunction/systems/state/pointers.py
@@ -1,4 +1,4 @@
-"""Where returning chats have their prefix, as the sidecar at a chat's home knows it."""
+"""Locations of cached chat prefixes, as known to the sidecar at each chat's home."""
 
 import attrs
 
@@ -10,10 +10,10 @@
 
 
 class PointerSystem:
-    """Remembers the chats that ran here and those that another endpoint took.
+    """Tracks which endpoint served each chat last, here or elsewhere.
 
-    Load: chats whose home was over its bound when they came. Harm: without a pointer they come back
-    to their home and find nothing cached, or an older and shorter prefix.
+    A chat may run at another endpoint while its home is over its bound. Without a pointer it would
+    return to its home and find nothing cached, or an older and shorter prefix.
     """
 
     def __init__(
@@ -25,9 +25,9 @@
         self._event_sequence = 0
 
     def look_up(self, chat_key: int | None, now_s: float) -> ChatPointer | None:
-        """Return where a chat's prefix lies, here or elsewhere, if that is known.
+        """Return the pointer to a chat's cached prefix, if there is one.
 
-        A pointer that is asked for lives on: entries that followed it tell nothing new.
+        A lookup extends the pointer's life, because entries that follow it don't report that back.
         """
         row = None if chat_key is None else self.chats.get(chat_key, now_s)
         if row is not None:
@@ -35,12 +35,12 @@
         return row
 
     def cached_tokens(self, chat_key: int | None, now_s: float) -> int:
-        """Return the length of a chat's prefix that should be cached here."""
+        """Return the tokens of a chat's prefix that should be cached here."""
         row = self.look_up(chat_key, now_s)
         return row.tokens if row is not None and row.endpoint_id == self.endpoint_id else 0
 
     def placed(self, chat_key: int | None, endpoint_id: str, tokens: int, now_s: float) -> None:
-        """Remember who has taken a chat, here or elsewhere."""
+        """Store the endpoint that has taken a chat, this one or another."""
         if chat_key is not None:
             self.chats.put(ChatPointer(chat_key, endpoint_id, tokens, now_s + self.life_s))
 
@@ -49,12 +49,11 @@
         self.chats.forget_endpoint(endpoint_id)
 
     def evicted(self, sequence: int, chat_keys: list[int]) -> None:
-        """Take in a cache event of the engine: these chats are no longer cached here.
+        """Apply a cache event of the engine: these chats are no longer cached here.
 
-        Events come late and with gaps. A gap loses hints only: a chat that is believed cached and
-        is not costs one cold prefill at its home, where it would have gone anyway. So nothing is
-        dropped on a gap, and an event that comes late is dropped itself, since the chats may have
-        run again in the meantime.
+        Events may be late or missing. After a gap nothing is dropped, since a pointer to an evicted
+        prefix costs only one cold prefill at the chat's home, where it would have gone anyway. A
+        late event is ignored, because the chats may have run again since.
         """
         if sequence <= self._event_sequence:
             return
@@ -65,5 +64,5 @@
                 self.chats.forget(chat_key)
 
     def hand_over(self, limit: int) -> list[ChatPointer]:
-        """Return the newest pointers for the peers when this endpoint leaves."""
+        """Return copies of the most recently used pointers, to send to peers on leaving."""
         return [attrs.evolve(row) for row in self.chats.rows()[-limit:]]
--- a/src/beryljunction/systems/state/ticket_attempts.py
+++ b/src/beryljunction/systems/state/ticket_attempts.py
@@ -1,4 +1,4 @@
-"""What the entry does next with a request that may not be repeated."""
+"""Decides an entry's next step for a non-idempotent request after each try."""
 
 import attrs
 
@@ -8,34 +8,34 @@
 
 __all__ = ["Mint", "TicketAttempts", "TicketStep", "UseTicket"]
 
-# A chain of burned tickets follows the load: three refusals find room wherever a fair share of the
-# endpoints has any. More would carry each request to every endpoint just when all are busy.
-_MOST_HOPS = 4
-# A try under the same ticket is harmless, its sidecar knows what became of the first. Two more
-# bridge a broken connection; a sidecar that is gone is not worth longer.
-_MOST_REPEATS = 2
-# Refusals that burned the ticket before anything ran. Without a successor the chain ends there, as
-# it does for an entry that has just started and has heard of no other sidecar: its caller would get
-# a "not run" while others have room.
-_BURNED = frozenset((RefusalCode.LEAVING, RefusalCode.OVERLOADED, RefusalCode.QUEUE_FULL))
-# Sidecars that can't be reached cost a second each; when four can't, the rest of the caller's time
-# is better spent elsewhere.
-_MOST_MINTS = 4
+# A successor replaces a burned ticket after a refusal. Three refusals find room if a fair share of
+# the endpoints has any; more hops would try every endpoint while all are busy.
+_MAX_HOPS = 4
+# A repeat with the same ticket is safe, because its sidecar knows the outcome of the first try. Two
+# repeats get over a broken connection; if the sidecar is gone, more would only delay the answer.
+_MAX_REPEATS = 2
+# Refusals that burned the ticket before anything ran, after which a new one may be minted. The
+# sidecar names no successor to an entry that has just started and knows no other sidecar's stamp;
+# without a new ticket its caller would get a "not run" while other endpoints have room.
+_BURNED_CODES = frozenset((RefusalCode.LEAVING, RefusalCode.OVERLOADED, RefusalCode.QUEUE_FULL))
+# Each unreachable sidecar costs a second; giving up after four saves the caller's remaining time.
+_MAX_MINTS = 4
 
 
 @attrs.frozen
 class Mint:
-    """Try under a new ticket for this endpoint's sidecar."""
+    """Try with a new ticket for this endpoint's sidecar."""
 
     endpoint: Endpoint
 
 
 @attrs.frozen
 class UseTicket:
-    """Try under this ticket, at the sidecar that it names.
+    """Try with this ticket, at the sidecar that it names.
 
     Attributes:
-        last_resort: The chain ends there; the endpoint may let the request wait.
+        last_resort: Whether no successor will be used after this try, so that the endpoint may
+            queue the request.
     """
 
     ticket: str
@@ -46,18 +46,18 @@
 
 
 class TicketAttempts:
-    """Walks one request along its chain of tickets.
+    """Chooses the ticket for each try of one request.
 
-    A new ticket beside an old one is the one step that could run the request twice. It is taken
-    only when the old one is known to this entry alone and no try under it is in doubt.
+    Only a new ticket besides an existing one could make the request run twice. So a new one is
+    minted only if no other process knows the old ticket and no try with it has an unknown outcome.
 
     Args:
-        candidates: Where the request may run, best first.
-        ticket: Ticket that the caller sent or its key stands for; None to have one minted.
+        candidates: Endpoints that may run the request, best first.
+        ticket: Ticket from the caller or from its key's claim; None to mint one.
     """
 
     def __init__(self, candidates: list[Endpoint], ticket: str | None) -> None:
-        self._left = list(candidates)
+        self._remaining = list(candidates)
         self._ticket = ticket
         self._in_doubt = ticket is not None
         self._minted: Endpoint | None = None
@@ -69,8 +69,8 @@
         """Return the first step."""
         if self._ticket is not None:
             return UseTicket(self._ticket)
-        if self._left:
-            return self._mint(self._left.pop(0))
+        if self._remaining:
+            return self._mint(self._remaining.pop(0))
         message = "expected a live endpoint of the service, found none; retry later"
         return GiveUp(Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0))
 
@@ -78,35 +78,37 @@
         """Return the step after a try.
 
         Args:
-            refusal: What the try ended in.
-            ticket: Ticket of the try; None when none could be had.
+            refusal: Result of the try.
+            ticket: Ticket of the try; None if none could be obtained.
         """
-        if refusal.successor is not None and self._hops < _MOST_HOPS:
-            return self._follow(refusal.successor)
+        if refusal.successor is not None and self._hops < _MAX_HOPS:
+            return self._use_successor(refusal.successor)
         if refusal.code is RefusalCode.TICKET_INVALID and self._minted is not None:
-            return self._mint_again(refusal, self._minted)
+            return self._mint_for_new_incarnation(refusal, self._minted)
         if refusal.code is RefusalCode.STALE_STAMP:
-            return self._send_again(refusal, ticket)
-        if refusal.code in _BURNED and refusal.ran is Ran.NO and not self._in_doubt:
+            return self._resend(refusal, ticket)
+        if refusal.code in _BURNED_CODES and refusal.ran is Ran.NO and not self._in_doubt:
             return self._mint_next(refusal)
         if refusal.code is not RefusalCode.ENDPOINT_FAILED or refusal.ran is not Ran.NO:
-            return self._after_doubt(refusal, ticket)
+            return self._repeat_if_unknown(refusal, ticket)
         if not self._in_doubt:
             return self._mint_next(refusal)
         message = "the ticket's sidecar can't be reached; an earlier try under it may have run"
-        return self._after_doubt(Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN), ticket)
+        return self._repeat_if_unknown(
+            Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN), ticket
+        )
 
-    def _follow(self, successor: str) -> TicketStep:
-        """Go down the chain; whoever else holds the burned ticket is led the same way."""
+    def _use_successor(self, successor: str) -> TicketStep:
+        """Use the successor, which every other holder of the burned ticket is given too."""
         self._hops += 1
         self._in_doubt = True
         self._minted = None
-        return UseTicket(successor, last_resort=self._hops == _MOST_HOPS)
+        return UseTicket(successor, last_resort=self._hops == _MAX_HOPS)
 
     def _mint_next(self, refusal: Refusal) -> TicketStep:
-        """Go on under a new ticket; the one before is this entry's alone and never ran."""
-        if self._left and self._mints < _MOST_MINTS:
-            return self._mint(self._left.pop(0))
+        """Mint a new ticket; the old one is known only to this entry and never ran."""
+        if self._remaining and self._mints < _MAX_MINTS:
+            return self._mint(self._remaining.pop(0))
         return GiveUp(refusal)
 
     def _mint(self, endpoint: Endpoint) -> Mint:
@@ -114,29 +116,29 @@
         self._mints += 1
         return Mint(endpoint)
 
-    def _mint_again(self, refusal: Refusal, endpoint: Endpoint) -> TicketStep:
-        """Replace a ticket whose sidecar has started anew since its stamp was heard.
+    def _mint_for_new_incarnation(self, refusal: Refusal, endpoint: Endpoint) -> TicketStep:
+        """Replace a ticket whose sidecar has restarted since its stamp was received.
 
-        The present incarnation alone was shown the ticket, and it refused it.
+        Only the current incarnation has seen the ticket, and it refused it.
         """
         self._minted = None
         return GiveUp(refusal) if self._in_doubt else Mint(endpoint)
 
-    def _send_again(self, refusal: Refusal, ticket: str | None) -> TicketStep:
-        """Send again under the stamp that came with the refusal.
+    def _resend(self, refusal: Refusal, ticket: str | None) -> TicketStep:
+        """Resend with the stamp from the refusal.
 
-        The sidecar has not looked at the ticket. Of a ticket that others may hold, its "not run"
-        says nothing.
+        The sidecar has not checked the ticket, so its "not run" proves nothing for a ticket that
+        other processes may hold.
         """
-        if ticket is not None and self._repeats < _MOST_REPEATS:
+        if ticket is not None and self._repeats < _MAX_REPEATS:
             self._repeats += 1
             return UseTicket(ticket)
         ran = Ran.UNKNOWN if self._in_doubt else refusal.ran
         return GiveUp(attrs.evolve(refusal, ran=ran))
 
-    def _after_doubt(self, refusal: Refusal, ticket: str | None) -> TicketStep:
+    def _repeat_if_unknown(self, refusal: Refusal, ticket: str | None) -> TicketStep:
         may_repeat = refusal.code is RefusalCode.OUTCOME_UNKNOWN and ticket is not None
-        if not may_repeat or self._repeats >= _MOST_REPEATS:
+        if not may_repeat or self._repeats >= _MAX_REPEATS:
             return GiveUp(refusal)
         assert ticket is not None
         self._repeats += 1
--- a/src/beryljunction/systems/state/ticket_claims.py
+++ b/src/beryljunction/systems/state/ticket_claims.py
@@ -1,4 +1,4 @@
-"""What an entry asks about a ticket, what the ledger says, and what the caller is told."""
+"""Claims on tickets: the entry's request, the ledger's results and the caller's refusals."""
 
 import attrs
 
@@ -26,17 +26,17 @@
 
 @attrs.frozen
 class Ask:
-    """What a sidecar is told of a request that comes with a ticket.
+    """Details of a request that an entry sends to a sidecar with a ticket.
 
     Attributes:
         account: Client account of the caller.
         digest: Digest of the request, from :func:`body_digest`.
-        request_id: The caller's request.
+        request_id: Id of the caller's request.
         wait_s: Longest time from sending to start.
-        heard: Stamp of this sidecar that the entry heard last. Without one of its present start
-            a request is not run.
-        heard_age_s: Seconds from then to the sending, by the entry's monotonic clock.
-        candidates: Where a burned ticket that has no successor yet may go on.
+        heard: Stamp that the entry received last from this sidecar. The request is not run unless
+            the stamp is from the sidecar's current incarnation.
+        heard_age_s: Age of that stamp when the request was sent, by the entry's monotonic clock.
+        candidates: Stamps of sidecars that may get the successor of a burned ticket.
     """
 
     account: str
@@ -50,14 +50,14 @@
 
 @attrs.frozen
 class Run:
-    """First claim: the request may be admitted here. Then start it or burn the ticket."""
+    """The claim is the first: the request may be admitted; then start it or burn the ticket."""
 
     serial: str
 
 
 @attrs.frozen
 class AlreadyRunning:
-    """The ticket is claimed by ``request_id``, which waits or runs here; join it."""
+    """The ticket is claimed by ``request_id``, which waits or runs here; attach to it."""
 
     serial: str
     request_id: str
@@ -65,14 +65,14 @@
 
 @attrs.frozen
 class Replay:
-    """The request ran here and ended well; the answer is None when it was not kept."""
+    """The request ran here and succeeded; ``answer`` is None if it was not kept."""
 
     answer: Answer | None
 
 
 @attrs.frozen
 class Failed:
-    """The request was started here and ended in this refusal; it is not run again."""
+    """The request was started here and failed with this refusal; it is not run again."""
 
     refusal: Refusal
 
@@ -82,8 +82,8 @@
     """The ticket will never run here.
 
     Attributes:
-        successor: The one ticket that replaces it; None while none was named.
-        fresh: Whether this very step burned the ticket or named the successor, so that nobody
+        successor: The only ticket that may replace it; None until one is minted.
+        fresh: Whether this call burned the ticket or minted the successor, so that no other process
             can have used the successor yet.
     """
 
@@ -93,12 +93,12 @@
 
 @attrs.frozen
 class WrongIncarnation:
-    """The ticket belongs to another sidecar, or to an earlier start of this one."""
+    """The ticket belongs to another sidecar, or to an earlier incarnation of this one."""
 
 
 @attrs.frozen
 class Expired:
-    """The ticket is past its life; whether it ran has been forgotten."""
+    """The ticket has expired; whether its request ran is no longer known."""
 
 
 @attrs.frozen
@@ -108,26 +108,26 @@
 
 @attrs.frozen
 class Full:
-    """No row is free, or was not when the ticket was still good; it will never run here."""
+    """The ledger is full, or was while the ticket was valid; its request will never run here."""
 
 
 @attrs.frozen
 class Invalid:
-    """Not a ticket at all, or one from a time that has not come yet."""
+    """The text is not a ticket, or its issue time is in the future."""
 
 
 @attrs.frozen
 class Unstamped:
-    """The entry has not heard this start of the sidecar, so the message's age can't be told.
+    """The entry has no stamp of this incarnation, so the message's age is unknown.
 
-    A message that was sent before the sidecar's host was replaced may lie in the network for long.
-    Taken as new on its arrival, it would run after its caller was told "unknown".
+    A message sent before the sidecar's host was replaced may be delayed in the network for long. If
+    it were accepted as new, it would run after its caller was told "unknown".
     """
 
 
 @attrs.frozen
 class Unverified:
-    """A ticket, but not under the fleet's present key; it may have run under an earlier one."""
+    """The ticket is not signed with the current fleet key; it may have run under an older key."""
 
 
 Claim = (
@@ -147,7 +147,7 @@
 
 
 def claim_refusal(claim: Claim) -> Refusal | None:
-    """Return what a caller is told; None when the request goes on here or is answered."""
+    """Return the refusal for the caller; None if the request runs here or has an answer."""
     if isinstance(claim, Failed):
         return claim.refusal
     if isinstance(claim, Burned):
@@ -162,7 +162,7 @@
     if claim.successor is None:
         message = "not run here and no other endpoint was named; retry later"
         return Refusal(RefusalCode.TICKET_BURNED, message, Ran.NO, 1.0)
-    # Another try may have followed the chain already when it was named before this step.
+    # If the successor was minted by an earlier call, another try may already have used it.
     ran = Ran.NO if claim.fresh else Ran.UNKNOWN
     message = "not run here; try the successor ticket"
     return Refusal(RefusalCode.TICKET_BURNED, message, ran, successor=claim.successor)
--- a/src/beryljunction/systems/state/ticket_mint.py
+++ b/src/beryljunction/systems/state/ticket_mint.py
@@ -1,4 +1,4 @@
-"""Tickets as text: written and checked under the fleet's key."""
+"""Encoding of tickets as text, signed and verified with the fleet's key."""
 
 import base64
 import hashlib
@@ -27,10 +27,10 @@
 
 
 class TicketMint:
-    """Writes and checks tickets under the fleet's key.
+    """Signs and verifies tickets with the fleet's key.
 
-    Without the code (HMAC-SHA256) any caller could write a ticket that names another account or a
-    later time, and with it run a request twice.
+    Without the HMAC-SHA256 code a caller could forge a ticket with another account or a later time
+    and use it to run a request twice.
     """
 
     def __init__(self, fleet_key: bytes, new_serial: Callable[[], str] | None = None) -> None:
@@ -38,13 +38,13 @@
         self._new_serial = new_serial or (lambda: secrets.token_hex(_SERIAL_BYTES))
 
     def mint(self, stamp: Stamp, account: str, digest: str = "") -> str:
-        """Return a new ticket for the sidecar that the stamp is from."""
+        """Return a new ticket for the sidecar that issued the stamp."""
         fields = [*attrs.astuple(stamp), self._new_serial(), account, digest]
         payload = json.dumps(fields, separators=(",", ":")).encode()
-        return f"{_to_text(payload)}.{_to_text(self._code(payload))}"
+        return f"{_to_text(payload)}.{_to_text(self._mac(payload))}"
 
     def read(self, text: str) -> Ticket | None:
-        """Return the ticket in a text, or None when it is not one."""
+        """Return the decoded ticket, or None if the text is not one."""
         head, _, code = text.partition(".")
         try:
             payload = base64.urlsafe_b64decode(_padded(head))
@@ -53,10 +53,10 @@
             stamp = Stamp(str(endpoint_id), str(incarnation), int(issued_ms))
         except (ValueError, TypeError):
             return None
-        genuine = hmac.compare_digest(given, self._code(payload))
+        genuine = hmac.compare_digest(given, self._mac(payload))
         return Ticket(stamp, str(serial), str(account), str(digest), genuine)
 
-    def _code(self, payload: bytes) -> bytes:
+    def _mac(self, payload: bytes) -> bytes:
         return hmac.digest(self._key, payload, "sha256")[:_DIGEST_BYTES]
 
 
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -1,8 +1,9 @@
-"""At most once: the ledger of tickets that one incarnation of one sidecar keeps.
+"""At-most-once execution: the ledger of tickets of one incarnation of one sidecar.
 
-A non-idempotent request runs only under a ticket that is bound for life to one incarnation of one
-sidecar. Nothing is agreed between nodes and no lease can lapse: who may run a request is known to
-one process, and when that process is gone the outcome is unknown, said so, and never run again.
+A non-idempotent request runs only with a ticket, which is bound to one incarnation of one sidecar.
+This needs no consensus between nodes and no lease that can expire: one process alone decides
+whether a request may run. If that process is gone, the outcome is reported as unknown and the
+request is never run again.
 """
 
 from collections import deque
@@ -37,13 +38,13 @@
 
 @attrs.frozen
 class LedgerLimits:
-    """Bounds of one ledger.
+    """Limits of one ledger.
 
     Attributes:
-        life_s: Life of a ticket, from its issue to the last claim that still meets its row.
-        max_rows: Claimed tickets that are remembered. At the target a sidecar gets 11.4 requests
-            a second; were a third of them non-idempotent, an hour of them would fill 14,000 rows.
-        answer_bytes: Kept answers, all together.
+        life_s: Life of a ticket, from its issue to the last claim that still finds its row.
+        max_rows: Most claimed tickets stored. At the target load a sidecar gets 11.4 requests per
+            second; if a third of them are non-idempotent, an hour fills 14,000 rows.
+        answer_bytes: Most bytes of all kept answers together.
         max_answer_bytes: Largest answer that is kept.
     """
 
@@ -54,9 +55,9 @@
 
 
 class TicketLedger:
-    """Says of each ticket whether its request may run here, and remembers what became of it.
+    """Decides for each ticket whether its request may run here, and records the outcome.
 
-    The order is claim, then start and finish (or fail), or burn in place of start.
+    The order of calls is claim, start, finish or fail; burn takes the place of start.
     """
 
     def __init__(
@@ -76,15 +77,15 @@
         self._by_age: deque[TicketRow] = deque()
 
     def stamp(self, now_s: float) -> Stamp:
-        """Return what entries need to mint tickets for this incarnation."""
+        """Return the stamp with which entries mint tickets for this incarnation."""
         return Stamp(self._endpoint_id, self._incarnation, self.clock.issue_ms(now_s))
 
     def mint(self, account: str, now_s: float) -> str:
-        """Return a new ticket; it takes no memory until its claim, so a repeat is harmless."""
+        """Return a new ticket; it uses no memory until it is claimed, so a repeat is harmless."""
         return self._mint.mint(self.stamp(now_s), account)
 
     def has_heard(self, stamp: Stamp | None) -> bool:
-        """Whether a stamp is from this start of the sidecar; ask it of a key before its claim."""
+        """Whether a stamp is from this incarnation; to be checked before a key is claimed."""
         return stamp is not None and self._is_ours(stamp)
 
     def claim(self, text: str, ask: Ask, now_s: float) -> Claim:
@@ -92,8 +93,8 @@
 
         Args:
             text: The ticket.
-            ask: What the entry says about the request.
-            now_s: Time of the shell's boot time clock (CLOCK_BOOTTIME), as in every method here.
+            ask: Details of the request from the entry.
+            now_s: Time of CLOCK_BOOTTIME, as in every method of this class.
         """
         self._expire(now_s)
         ticket = self._mint.read(text)
@@ -113,10 +114,10 @@
     def start(self, serial: str, now_s: float) -> bool:
         """Mark a claimed ticket as running, just before the first byte goes to the endpoint.
 
-        False when the deadline has passed: a sidecar that was paused wakes with waiting requests
-        whose callers have long been told "unknown" and may have acted on it. Such a ticket is
-        burned. The deadline is judged here, after the last point where the process could have
-        been held up for long, and by a clock that a pause does not stop.
+        Returns False and burns the ticket if the deadline has passed: after a pause, a sidecar may
+        have waiting requests whose callers were told "unknown" long ago and may have acted on it.
+        The deadline is checked here, after the last point where the process could have been delayed
+        for long, and by a clock that a pause does not stop.
         """
         row = self._row(serial)
         if row.state is not TicketState.CLAIMED:
@@ -128,17 +129,17 @@
         return True
 
     def finish(self, serial: str, answer: Answer | None) -> None:
-        """Remember that a request ran and, when it fits, its whole answer."""
+        """Record that a request ran and keep its whole answer if it is small enough."""
         row = self._row(serial)
         row.state = TicketState.FINISHED
         if answer is not None and answer.size_bytes <= self.limits.max_answer_bytes:
             self.table.keep_answer(row, answer, self.limits.answer_bytes)
 
     def fail(self, serial: str, refusal: Refusal) -> None:
-        """Remember how a started request failed.
+        """Record how a started request failed.
 
         With ``ran: "no"`` (no byte reached the endpoint) the ticket is burned and its request may
-        go on elsewhere; otherwise it is never run again.
+        run elsewhere; otherwise it is never run again.
         """
         row = self._row(serial)
         if refusal.ran is Ran.NO:
@@ -148,16 +149,17 @@
         row.refusal = refusal
 
     def burn(self, serial: str, account: str, candidates: Sequence[Stamp] = ()) -> Burned:
-        """Give up a ticket that has not started and name its one successor in the same step.
+        """Invalidate a ticket that has not started and mint its only successor.
 
-        Two entries that try the same ticket at once are given the same successor, since it is
-        decided here and once. Without the shared step each would mint its own, and both would run.
-        A burned ticket may be burned again: it keeps the successor that it has, or gets one now.
+        Two entries that try the same ticket at once get the same successor. If each entry minted
+        its own, both requests would run. A burned ticket may be burned again: it keeps its
+        successor, or gets one now if it has none.
 
         Args:
             serial: The ticket's serial.
             account: Client account that the successor is for.
-            candidates: Where the request may go on; the first one that is not this sidecar.
+            candidates: Stamps of sidecars that may run the request; the first one from another
+                sidecar gets the successor.
         """
         row = self._row(serial)
         if row.state is not TicketState.BURNED and row.state is not TicketState.CLAIMED:
@@ -212,7 +214,7 @@
         return sent_ms + int(ask.wait_s * 1000)
 
     def _expire(self, now_s: float) -> None:
-        """Forget tickets that the clock refuses from now on; a running one is kept."""
+        """Remove rows of tickets that have expired, except those waiting or running."""
         now_ms = self.clock.read_ms(now_s)
         for _ in range(len(self._by_age)):
             row = self._by_age[0]
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -1,8 +1,8 @@
-"""Which requests arrived at a sidecar, and which must never arrive any more.
+"""Records of requests that arrived at a sidecar, and tombstones for those it must refuse.
 
-An entry whose connection broke asks the sidecar about its request. "Never seen" alone proves
-nothing: the request may still be on its way. So the answer "not run" leaves a tombstone that a
-late arrival meets.
+An entry whose connection broke asks the sidecar whether its request ran. If the sidecar has not
+seen the request, it may still be on its way. So the sidecar stores a tombstone with the answer
+"not run", and refuses the request if it arrives later.
 """
 
 import enum
@@ -16,10 +16,11 @@
 
 
 class Arrival(enum.StrEnum):
-    """What a sidecar does with a request that arrives.
+    """Result of the check of an arriving request.
 
-    Only a fresh one may run. A duplicate belongs to the run that is here already. Buried and
-    closed ones never ran and never will (``ran: "no"``); of one that is too old nothing is known.
+    Only a fresh request may run. A duplicate belongs to a request that is already here. Buried
+    requests (with a tombstone) and closed ones never ran and never will (``ran: "no"``). For a
+    request that is too old the outcome is unknown.
     """
 
     FRESH = "fresh"
@@ -30,25 +31,25 @@
 
 
 class Asked(enum.StrEnum):
-    """What a sidecar says about a request that is asked for."""
+    """A sidecar's answer to the question whether a request ran."""
 
     SEEN = "seen"
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
-_LEFT_NO_ROW = frozenset((Window.OPEN, Window.CLOSED))
+_NOT_RUN_WINDOWS = frozenset((Window.OPEN, Window.CLOSED))
 
 
 @attrs.frozen
 class TombstoneLimits:
-    """Bounds of what is remembered.
+    """Limits of the table.
 
     Attributes:
-        life_s: Time for which arrivals and tombstones are remembered. An entry asks within the
-            silence limit (seconds), so a few minutes leave room for pauses.
-        max_rows: Requests remembered. At the target a sidecar gets 11.4 requests a second, so two
-            minutes of them are some 1,400; the rest is for bursts.
+        life_s: Time for which arrivals and tombstones are stored. An entry asks within the silence
+            limit (seconds), so a few minutes leave room for pauses.
+        max_rows: Most requests stored. At the target load a sidecar gets 11.4 requests per second,
+            about 1,400 in two minutes; the rest is for bursts.
     """
 
     life_s: float = 120.0
@@ -56,12 +57,13 @@
 
 
 class TombstoneSystem:
-    """Remembers request ids; what it forgets it refuses, by the age of the stamp that came along.
+    """Stores request ids; a request that is older than the stored ones is refused.
 
-    The stamp is the sidecar's own, copied by the entry, so no wall clock takes part. A request
-    without a stamp can't be told late from new: it is taken when it arrives first, and "not run" is
-    never said of it. One with the stamp of another start is refused by the ledger, or, when it may
-    be repeated, by :meth:`names_earlier_start`.
+    The age of a request comes from its stamp, which the entry copied from this sidecar, so no wall
+    clock is involved. Without a stamp a late request can't be told from a new one: it is accepted
+    on its first arrival, and the answer about it is never "not run". A request with a stamp of
+    another incarnation is refused by the ledger or, if it is idempotent, by
+    :meth:`names_earlier_start`.
     """
 
     def __init__(
@@ -80,64 +82,64 @@
         return len(self._rows)
 
     def stamp(self, now_s: float) -> Stamp:
-        """Return what entries copy onto their requests."""
+        """Return the stamp that entries copy into their requests."""
         return Stamp(*self._name, self.clock.issue_ms(now_s))
 
     def arrive(self, request_id: str, heard: Stamp | None, age_s: float, now_s: float) -> Arrival:
-        """Decide on a request that arrives, and remember it.
+        """Check an arriving request and store its id.
 
         Args:
             request_id: Id of one try; the next try has another.
-            heard: Stamp that the entry heard last before it sent the request.
-            age_s: Seconds from then to the sending, by the entry's monotonic clock.
-            now_s: Time handed in.
+            heard: Stamp that the entry received last before it sent the request.
+            age_s: Age of that stamp when the request was sent, by the entry's monotonic clock.
+            now_s: Current time.
         """
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         row = self._rows.get(request_id)
         if row is not None:
             return Arrival.BURIED if row[1] else Arrival.DUPLICATE
         if heard is None or not self._is_ours(heard):
             return Arrival.FRESH if self._remember(request_id, False, now_s) else Arrival.TOO_OLD
-        window = self._window(heard, age_s, now_s)
+        window = self._sent_window(heard, age_s, now_s)
         if window is Window.OPEN and self._remember(request_id, False, now_s):
             return Arrival.FRESH
-        return Arrival.CLOSED if window in _LEFT_NO_ROW else Arrival.TOO_OLD
+        return Arrival.CLOSED if window in _NOT_RUN_WINDOWS else Arrival.TOO_OLD
 
     def names_earlier_start(self, heard: Stamp | None) -> bool:
-        """Whether a request was sent to a process that stood here before.
+        """Whether a request was sent to an earlier incarnation of this sidecar.
 
-        That one may have run it, or have said "not run" of it and be gone with its tombstone. A
-        late copy that was taken as new would make that "not run" false. So it is not run; its
-        sender, if it still waits, sends it again under the stamp that it hears now.
+        The earlier process may have run it, or have answered "not run" and lost the tombstone in
+        its restart. If a late copy ran now, that answer would be false, so it is refused. A sender
+        that still waits resends it with the stamp from the refusal.
         """
         return heard is not None and not self._is_ours(heard)
 
     def ask(self, request_id: str, heard: Stamp | None, age_s: float, now_s: float) -> Asked:
-        """Say what is known of a request; "not run" buries it.
+        """Return what is known of a request; the answer "not run" stores a tombstone.
 
-        Stamp and age are those that the request was sent with, so that this answer and the one to
-        a late arrival go by the same time of sending.
+        Stamp and age are those sent with the request, so that this answer and the check of a late
+        arrival use the same sending time.
         """
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         row = self._rows.get(request_id)
         if row is not None:
             return Asked.NOT_RUN if row[1] else Asked.SEEN
         if heard is None or not self._is_ours(heard):
             return Asked.UNKNOWN
-        window = self._window(heard, age_s, now_s)
+        window = self._sent_window(heard, age_s, now_s)
         if window is Window.OPEN:
             self._remember(request_id, True, now_s)
-        return Asked.NOT_RUN if window in _LEFT_NO_ROW else Asked.UNKNOWN
+        return Asked.NOT_RUN if window in _NOT_RUN_WINDOWS else Asked.UNKNOWN
 
-    def _window(self, heard: Stamp, age_s: float, now_s: float) -> Window:
-        """Judge the time of sending; an entry may not have heard from here for many minutes."""
+    def _sent_window(self, heard: Stamp, age_s: float, now_s: float) -> Window:
+        """Return the validity of the sending time; the stamp itself may be many minutes old."""
         return self.clock.judge(self.clock.sent_ms(heard.issued_ms, age_s, now_s), now_s)
 
     def _remember(self, request_id: str, buried: bool, now_s: float) -> bool:
-        """Insert a row, or close the clock when none is free: it then stands for the row.
+        """Insert a row; if the table is full, close the clock, which then stands for the row.
 
-        To drop the oldest row in its place would make a request that ran look like one that never
-        arrived, and the answer "not run" false.
+        If the oldest row were dropped instead, a request that ran would look like one that never
+        arrived, and the answer "not run" would be false.
         """
         if len(self._rows) >= self.limits.max_rows:
             self.clock.close(now_s)
@@ -145,7 +147,7 @@
         self._rows[request_id] = (self.clock.issue_ms(now_s) + self.clock.life_ms, buried)
         return True
 
-    def _forget_old(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         now_ms = self.clock.read_ms(now_s)
         while self._rows:
             request_id, (expires_ms, _) = next(iter(self._rows.items()))
