--- a/src/beryljunction/systems/recovery/__init__.py
+++ b/src/beryljunction/systems/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints that join, leave, load and hand on."""
+"""Endpoint membership, model loads and cache handover."""
--- a/src/beryljunction/systems/recovery/handover.py
+++ b/src/beryljunction/systems/recovery/handover.py
@@ -1,4 +1,4 @@
-"""Which cached prefixes a leaving endpoint gives to whom, and which a successor takes."""
+"""Handover of cached prefixes from a leaving endpoint to its successors."""
 
 import enum
 from collections.abc import Iterator, Set
@@ -14,14 +14,14 @@
 
 
 class Handed(enum.StrEnum):
-    """How one transfer ended.
+    """Result of one transfer.
 
     Attributes:
         TAKEN: The successor has the prefix.
-        DECLINED: The successor has no use for this one.
-        EVICTED: The engine here no longer had it.
-        EXPORT_FAILED: The engine here did not give it in time.
-        SUCCESSOR_FAILED: The successor refused, broke off or was too slow.
+        DECLINED: The successor does not need this prefix.
+        EVICTED: The leaving endpoint's engine no longer had it.
+        EXPORT_FAILED: The leaving endpoint's engine did not export it in time.
+        SUCCESSOR_FAILED: The successor refused, disconnected or was too slow.
     """
 
     TAKEN = "taken"
@@ -33,17 +33,18 @@
 
 @attrs.frozen
 class HandoverLimits:
-    """Limits of what one leaving endpoint hands on.
+    """Limits of the handover of one leaving endpoint.
 
     Attributes:
-        total_bytes: Cached state that is moved at the most. It goes from engine to engine over the
+        total_bytes: Most bytes of cached state to transfer. They go from engine to engine over the
             network that answers use too.
-        token_bytes: Cached state of one token.
-        hot_s: Age of the last answer from which a prefix is left behind. Most chats return within
-            minutes, and each import evicts something at the successor that may be used sooner.
-        least_tokens: Length below which a prefix is left behind: the two calls of a transfer cost
-            some milliseconds, as does the prefill of so many tokens.
-        least_transfer_s: Time that every transfer may take, for loops that are busy.
+        token_bytes: Bytes of cached state per token.
+        hot_s: Age of a chat's last answer above which its prefix is not transferred. Most chats
+            return within minutes, and each import evicts state at the successor that may be needed
+            sooner.
+        least_tokens: Length below which a prefix is not transferred: the two calls of a transfer
+            take some milliseconds, as does the prefill of so many tokens.
+        least_transfer_s: Time that every transfer may take, to allow for a busy event loop.
         prefill_tokens_per_s: Speed of the cold prefill that a transfer saves.
     """
 
@@ -57,7 +58,7 @@
 
 @attrs.frozen
 class Transfer:
-    """One prefix on its way to its successor.
+    """Transfer of one prefix to its successor.
 
     Attributes:
         used_s: Monotonic time of the chat's last answer.
@@ -73,12 +74,12 @@
 
 
 class HandoverSystem:
-    """Decides what a leaving endpoint hands on, and when it has to stop.
+    """Decides which prefixes a leaving endpoint transfers, and when it stops.
 
-    Load: an endpoint is drained or replaced (130 a day at the target) and all its chats come to
-    their next homes within minutes. Harm: each starts cold there, and the prefills of all of them
-    together delay what runs at the successors. A transfer that fails or is not reached costs just
-    that one cold prefill, so every limit here errs to the side of moving less.
+    When an endpoint is drained or replaced (130 per day at the target), all its chats move to their
+    next homes within minutes. Without cached prefixes their prefills together would delay the
+    requests running there. A transfer that fails or is skipped costs only one cold prefill, so the
+    limits prefer to move less.
     """
 
     def __init__(
@@ -91,7 +92,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget what was handed on: the endpoint is back at work."""
+        """Clear the state of the handover, because the endpoint serves again."""
         self._handled: set[int] = set()
         self._failed_successors: set[str] = set()
         self._export_failures = 0
@@ -100,13 +101,14 @@
     def plan(
         self, prefixes: PrefixTable, busy: Set[int], members: EndpointTable, now_s: float
     ) -> Iterator[Transfer]:
-        """Yield the transfers that are still to be made, the most useful first.
+        """Yield the remaining transfers, the most useful first.
 
-        A byte of any prefix saves the same prefill if its chat returns, so what counts is how
-        likely that is: the chat that was answered last goes first. Chats with a request in flight
-        here wait for its end; their answer goes first, and makes the prefix longer.
+        Each byte saves the same prefill time if its chat returns, so the order follows the
+        likelihood of a return: the chat with the latest answer is first. Chats in ``busy`` have a
+        request in flight here and are skipped until it ends, because the answer extends the prefix.
 
-        One at a time: to place thousands of chats in one step would hold up the answers in flight.
+        This is a generator because placing thousands of chats in one step would delay the answers
+        in flight.
         """
         placement = PlacementSystem(members, region=self._region)
         for row in prefixes.newest_first():
@@ -119,17 +121,17 @@
             query = PlacementQuery(self._service, row.chat_key)
             successor = successor_of(placement, query, self._endpoint_id, now_s)
             if successor is not None:
-                row_limit_s = self._limit_s(row.tokens)
+                row_limit_s = self._time_limit_s(row.tokens)
                 yield Transfer(
                     row.chat_key, row.chat_id, row.tokens, successor, row.used_s, row_limit_s
                 )
 
     def may_go(self, transfer: Transfer) -> bool:
-        """Tell whether a planned transfer is still worth its start.
+        """Return whether a planned transfer should still be started.
 
-        A successor that failed once is left alone: it is gone, leaving or overloaded, and each
-        further try would take its time from the prefixes of others. An engine that fails three
-        exports in a row does not export at all.
+        A successor that failed once gets no more transfers: it is gone, leaving or overloaded, and
+        further tries would take time from other prefixes. After three failed exports in a row the
+        engine is assumed not to export at all.
         """
         planned_bytes = transfer.tokens * self.limits.token_bytes
         return (
@@ -139,16 +141,16 @@
         )
 
     def skipped(self, transfer: Transfer) -> None:
-        """Leave a prefix behind for good, so that no later plan places its chat again."""
+        """Exclude a prefix from later plans."""
         self._handled.add(transfer.chat_key)
 
     def started(self, transfer: Transfer) -> None:
-        """Count a transfer; each prefix is tried once, since a second try is a prefill's worth."""
+        """Record a transfer; a prefix is tried once, since a retry costs as much as a prefill."""
         self._handled.add(transfer.chat_key)
         self._moved_bytes += transfer.tokens * self.limits.token_bytes
 
     def ended(self, transfer: Transfer, handed: Handed) -> None:
-        """Take in how a transfer ended; what was not moved does not count."""
+        """Record the result of a transfer; bytes that were not moved are not counted."""
         failed_here = handed is Handed.EXPORT_FAILED
         self._export_failures = self._export_failures + 1 if failed_here else 0
         if handed is Handed.SUCCESSOR_FAILED:
@@ -156,8 +158,8 @@
         if handed not in (Handed.TAKEN, Handed.SUCCESSOR_FAILED):
             self._moved_bytes -= transfer.tokens * self.limits.token_bytes
 
-    def _limit_s(self, tokens: int) -> float:
-        """Return how long a transfer may take: no longer than the prefill that it saves."""
+    def _time_limit_s(self, tokens: int) -> float:
+        """Return the time limit of a transfer: the duration of the prefill that it saves."""
         cold_s = tokens / self.limits.prefill_tokens_per_s
         return max(self.limits.least_transfer_s, cold_s)
 
@@ -165,15 +167,15 @@
 def successor_of(
     placement: PlacementSystem, query: PlacementQuery, leaving_id: str, now_s: float
 ) -> Endpoint | None:
-    """Return who is asked first for a chat once an endpoint is gone."""
+    """Return the endpoint that is tried first for a chat once another one has left."""
     candidates = placement.candidates(query, now_s)
     return next((c for c in candidates if c.endpoint_id != leaving_id), None)
 
 
 def wants_prefix(row: ChatPointer | None, own_id: str, sender_id: str) -> bool:
-    """Tell whether a successor should take a chat's prefix from a leaving endpoint.
+    """Return whether a successor should accept a chat's prefix from a leaving endpoint.
 
-    Load: the chat returns while its prefix is on the way. Harm: it has run here or been sent on
-    elsewhere meanwhile, and the older prefix would replace a longer one, or the pointer to it.
+    If the chat returned during the transfer, it has run here or elsewhere since, and the older
+    prefix would replace a longer one, or the pointer to it.
     """
     return row is None or row.endpoint_id == sender_id != own_id
--- a/src/beryljunction/systems/recovery/membership.py
+++ b/src/beryljunction/systems/recovery/membership.py
@@ -1,4 +1,4 @@
-"""Which endpoints one process may offer work to, from a lagging list and its own evidence."""
+"""Endpoint membership in one process, from the platform's lagging list and own observations."""
 
 import math
 
@@ -11,10 +11,10 @@
 
 @attrs.frozen
 class ListedEndpoint:
-    """One endpoint as the platform's list has it.
+    """One endpoint in the platform's list.
 
     Attributes:
-        leaving: Whether the list says that the endpoint is to get no new work.
+        leaving: Whether the list says that the endpoint gets no new requests.
     """
 
     endpoint_id: str
@@ -32,13 +32,13 @@
     """Times and limits of membership.
 
     Attributes:
-        suspect_s: Time that a failed connection keeps new work away.
-        missing_s: Time that an endpoint missing from the list stays known.
-        evidence_s: Age up to which an answer of an endpoint counts against its missing.
-        flap_half_life_s: Time in which the memory of failures halves.
-        flap_limit: Remembered failures from which an endpoint goes last.
-        forget_s: Time after its drop for which an endpoint's failures are still remembered; after
-            five half-lives a thirtieth is left of them.
+        suspect_s: Time for which an endpoint is suspect after a failed connection.
+        missing_s: Time until an endpoint that is missing from the list is dropped.
+        evidence_s: Age up to which an answer keeps an endpoint that is missing from the list.
+        flap_half_life_s: Half-life of the failure count.
+        flap_limit: Decayed failure count from which an endpoint counts as flapping.
+        forget_s: Time for which the failures of a dropped endpoint are kept; after five half-lives
+            a thirtieth of the count is left.
     """
 
     suspect_s: float = 3.0
@@ -51,7 +51,7 @@
 
 @attrs.define
 class _Evidence:
-    """What this process itself has seen of an endpoint."""
+    """Observations of this process about an endpoint."""
 
     answered_s: float = -math.inf
     missing_since_s: float | None = None
@@ -62,139 +62,139 @@
 
 
 class MembershipSystem:
-    """Turns the list and own evidence into the states of the endpoint table.
+    """Sets the states in the endpoint table from the list and own observations.
 
-    Signs, strongest first: the sidecar's own word that it leaves, the list's "leaving", a failed
-    connection. A wrong guess costs a warm cache or a hop, never correctness.
+    The evidence, strongest first: the sidecar's own message that it leaves, "leaving" in the list,
+    a failed connection. A wrong state costs a warm cache or a hop, but never correctness.
     """
 
     def __init__(self, endpoints: EndpointTable, limits: MembershipLimits | None = None) -> None:
         self.endpoints = endpoints
         self.limits = limits if limits is not None else MembershipLimits()
         self._evidence: dict[str, _Evidence] = {}
-        self._dropped_s: dict[str, float] = {}
+        self._dropped_at_s: dict[str, float] = {}
         self._first_list = True
 
     @property
     def remembered(self) -> int:
-        """Endpoints of which something seen is remembered, those that were dropped included."""
+        """Number of endpoints with stored observations, including dropped endpoints."""
         return len(self._evidence)
 
     def apply_list(self, listed: list[ListedEndpoint], now_s: float) -> None:
-        """Take in a new reading of the platform's list.
+        """Apply a new version of the platform's list.
 
-        An endpoint that the list lacks is not dropped at once: lists of two processes may differ
-        for seconds, and each difference moves chats away from their prefix. One that answered
-        lately stays, others go last until the time is up.
+        An endpoint that is missing from the list is not dropped at once: the lists of two processes
+        may differ for seconds, and each difference moves chats away from their cached prefix. If it
+        answered recently it stays live, else it is suspect until it is dropped.
         """
         names = set()
         for row in listed:
             names.add(row.endpoint_id)
-            self._seen(row, now_s)
+            self._apply_listed(row, now_s)
         for known in self.endpoints:
             if known.endpoint_id not in names:
-                self._missing(known, now_s)
+                self._apply_missing(known, now_s)
         self._first_list = False
 
     def note_answer(self, endpoint_id: str, now_s: float, incarnation: str = "") -> None:
-        """Take in that an endpoint's sidecar has answered, whatever it said."""
+        """Record that an endpoint's sidecar has answered, with any status."""
         row = self.endpoints.get(endpoint_id)
         if row is None:
             return
-        evidence = self._of(endpoint_id)
+        evidence = self._evidence_of(endpoint_id)
         evidence.answered_s = now_s
         evidence.down = False
         if incarnation and row.incarnation and incarnation != row.incarnation:
-            self._restarted(row, incarnation, now_s)
-        if not self._damped(evidence, now_s):
+            self._reset_for_incarnation(row, incarnation, now_s)
+        if not self._is_flapping(evidence, now_s):
             row.suspect_until_s = 0.0
-        self._settle(row, now_s)
+        self._update_state(row, now_s)
 
     def note_failure(self, endpoint_id: str, now_s: float) -> None:
-        """Take in that a connection to an endpoint failed.
+        """Record that a connection to an endpoint failed.
 
-        Load: an endpoint that comes and goes within seconds. Harm: with each return its chats move
-        back, find nothing cached and are cut off again. Failures are remembered with a half-life;
-        past the limit the endpoint goes last until the memory has faded, even when it answers.
+        If an endpoint flaps within seconds, its chats move back on each return, find nothing cached
+        and are cut off again. So failures are counted with a half-life (flap damping): above the
+        limit the endpoint stays suspect until the count has decayed, even if it answers.
         """
         row = self.endpoints.get(endpoint_id)
         if row is None:
             return
-        evidence = self._of(endpoint_id)
+        evidence = self._evidence_of(endpoint_id)
         if not evidence.down:
-            evidence.failures = self._failures(evidence, now_s) + 1.0
+            evidence.failures = self._decayed_failures(evidence, now_s) + 1.0
             evidence.failed_s = now_s
         evidence.down = True
         until_s = now_s + self.limits.suspect_s
-        if self._damped(evidence, now_s):
-            until_s = max(until_s, now_s + self._fading_s(evidence, now_s))
+        if self._is_flapping(evidence, now_s):
+            until_s = max(until_s, now_s + self._time_until_undamped_s(evidence, now_s))
         row.suspect_until_s = max(row.suspect_until_s, until_s)
-        self._settle(row, now_s)
+        self._update_state(row, now_s)
 
     def note_leaving(self, endpoint_id: str, incarnation: str = "") -> None:
-        """Take in the sidecar's own word that it leaves; it holds until it starts anew."""
+        """Record that the sidecar said it is leaving, which holds until it restarts."""
         row = self.endpoints.get(endpoint_id)
         if row is not None:
-            self._of(endpoint_id).left_incarnation = incarnation or row.incarnation
+            self._evidence_of(endpoint_id).left_incarnation = incarnation or row.incarnation
             row.state = EndpointState.LEAVING
 
     def note_replaced(self, endpoint_id: str, now_s: float) -> None:
-        """Take in that the host in the slot is another one; its sidecar has yet to name itself."""
+        """Record that the slot's host was replaced; the new incarnation is not known yet."""
         row = self.endpoints.get(endpoint_id)
         if row is not None:
-            self._of(endpoint_id).left_incarnation = None
+            self._evidence_of(endpoint_id).left_incarnation = None
             row.state = EndpointState.LIVE
-            self._restarted(row, "", now_s)
+            self._reset_for_incarnation(row, "", now_s)
 
     def tick(self, now_s: float) -> list[str]:
-        """Let suspicions end and drop what was missing for too long; return the dropped ids."""
+        """Update states, drop endpoints that were missing for too long and return their ids."""
         dropped = []
         for row in self.endpoints:
-            evidence = self._of(row.endpoint_id)
+            evidence = self._evidence_of(row.endpoint_id)
             since_s = evidence.missing_since_s
             gone = since_s is not None and now_s - since_s >= self.limits.missing_s
             if gone and now_s - evidence.answered_s >= self.limits.evidence_s:
                 self.endpoints.remove(row.endpoint_id)
-                self._dropped_s[row.endpoint_id] = now_s
+                self._dropped_at_s[row.endpoint_id] = now_s
                 dropped.append(row.endpoint_id)
                 continue
-            self._settle(row, now_s)
-        self._forget(now_s)
+            self._update_state(row, now_s)
+        self._remove_old_evidence(now_s)
         return dropped
 
-    def _forget(self, now_s: float) -> None:
-        """Forget what was seen of endpoints that are gone for good.
+    def _remove_old_evidence(self, now_s: float) -> None:
+        """Remove the observations of endpoints that were dropped long ago.
 
-        Load: 130 hosts replaced a day, each under a new id. Harm: an entry that runs for months
-        would hold a row for every endpoint there ever was. Those that flap are back before their
-        failures have faded, so a flapping endpoint can't clear its record by being dropped.
+        With 130 hosts replaced per day, each under a new id, an entry that runs for months would
+        keep a row for every endpoint that ever existed. A flapping endpoint returns before its
+        failures have decayed, so being dropped does not clear its count.
         """
-        for endpoint_id, dropped_s in tuple(self._dropped_s.items()):
+        for endpoint_id, dropped_s in tuple(self._dropped_at_s.items()):
             if self.endpoints.get(endpoint_id) is not None:
-                del self._dropped_s[endpoint_id]
+                del self._dropped_at_s[endpoint_id]
             elif now_s - dropped_s >= self.limits.forget_s:
-                del self._dropped_s[endpoint_id]
+                del self._dropped_at_s[endpoint_id]
                 del self._evidence[endpoint_id]
 
-    def _seen(self, listed: ListedEndpoint, now_s: float) -> None:
-        evidence = self._of(listed.endpoint_id)
+    def _apply_listed(self, listed: ListedEndpoint, now_s: float) -> None:
+        evidence = self._evidence_of(listed.endpoint_id)
         evidence.missing_since_s = None
         row = self.endpoints.get(listed.endpoint_id)
         if row is None or row.service != listed.service:
-            row = self._new(listed, now_s)
+            row = self._add_listed(listed, now_s)
         elif listed.incarnation and listed.incarnation != row.incarnation:
-            self._restarted(row, listed.incarnation, now_s)
+            self._reset_for_incarnation(row, listed.incarnation, now_s)
         row.availability_zone = listed.availability_zone
         row.address = listed.address
         row.region = listed.region
         row.weight = listed.weight
         if listed.leaving:
             self.note_leaving(listed.endpoint_id, listed.incarnation)
-        self._settle(row, now_s)
+        self._update_state(row, now_s)
 
-    def _new(self, listed: ListedEndpoint, now_s: float) -> Endpoint:
-        # An endpoint that left and was dropped comes back as a new one: its leaving is over.
-        self._of(listed.endpoint_id).left_incarnation = None
+    def _add_listed(self, listed: ListedEndpoint, now_s: float) -> Endpoint:
+        # An endpoint that left and was dropped comes back as a new one and is not leaving any more.
+        self._evidence_of(listed.endpoint_id).left_incarnation = None
         row = Endpoint(
             listed.endpoint_id,
             listed.service,
@@ -207,30 +207,30 @@
         self.endpoints.put(row)
         return row
 
-    def _restarted(self, row: Endpoint, incarnation: str, now_s: float) -> None:
-        """Start over with an endpoint whose sidecar started anew under the same id.
+    def _reset_for_incarnation(self, row: Endpoint, incarnation: str, now_s: float) -> None:
+        """Reset the state of an endpoint whose sidecar restarted under the same id.
 
-        What was held against the earlier incarnation (leaving, suspicion) says nothing of the new
-        one; only the memory of failures stays, since flapping shows as restarts too.
+        Leaving and suspicion of the earlier incarnation don't apply to the new one. Only the
+        failure count stays, since a flapping endpoint may restart each time.
         """
         if row.incarnation:
             row.joined_s = now_s
         row.incarnation = incarnation
-        evidence = self._of(row.endpoint_id)
+        evidence = self._evidence_of(row.endpoint_id)
         if evidence.left_incarnation is not None and evidence.left_incarnation != incarnation:
             evidence.left_incarnation = None
             row.state = EndpointState.LIVE
-        if not self._damped(evidence, now_s):
+        if not self._is_flapping(evidence, now_s):
             row.suspect_until_s = 0.0
 
-    def _missing(self, row: Endpoint, now_s: float) -> None:
-        evidence = self._of(row.endpoint_id)
+    def _apply_missing(self, row: Endpoint, now_s: float) -> None:
+        evidence = self._evidence_of(row.endpoint_id)
         if evidence.missing_since_s is None:
             evidence.missing_since_s = now_s
-        self._settle(row, now_s)
+        self._update_state(row, now_s)
 
-    def _settle(self, row: Endpoint, now_s: float) -> None:
-        evidence = self._of(row.endpoint_id)
+    def _update_state(self, row: Endpoint, now_s: float) -> None:
+        evidence = self._evidence_of(row.endpoint_id)
         if evidence.left_incarnation is not None:
             row.state = EndpointState.LEAVING
             return
@@ -241,17 +241,17 @@
         suspect = row.suspect_until_s > now_s
         row.state = EndpointState.SUSPECT if suspect else EndpointState.LIVE
 
-    def _of(self, endpoint_id: str) -> _Evidence:
+    def _evidence_of(self, endpoint_id: str) -> _Evidence:
         return self._evidence.setdefault(endpoint_id, _Evidence())
 
-    def _failures(self, evidence: _Evidence, now_s: float) -> float:
+    def _decayed_failures(self, evidence: _Evidence, now_s: float) -> float:
         age_s = now_s - evidence.failed_s
         return evidence.failures * math.pow(0.5, age_s / self.limits.flap_half_life_s)
 
-    def _damped(self, evidence: _Evidence, now_s: float) -> bool:
-        return self._failures(evidence, now_s) >= self.limits.flap_limit
+    def _is_flapping(self, evidence: _Evidence, now_s: float) -> bool:
+        return self._decayed_failures(evidence, now_s) >= self.limits.flap_limit
 
-    def _fading_s(self, evidence: _Evidence, now_s: float) -> float:
-        """Return the time until the memory of failures is below the limit again."""
-        ratio = self._failures(evidence, now_s) / self.limits.flap_limit
+    def _time_until_undamped_s(self, evidence: _Evidence, now_s: float) -> float:
+        """Return the time until the failure count is below the limit again."""
+        ratio = self._decayed_failures(evidence, now_s) / self.limits.flap_limit
         return self.limits.flap_half_life_s * math.log2(ratio)
--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -1,4 +1,4 @@
-"""What a sidecar orders from the engine beside it: the difference, by level and not by event."""
+"""Reconciles an engine's models and adapters with the wanted state (level-triggered)."""
 
 import random
 
@@ -9,16 +9,16 @@
 
 __all__ = ["Hold", "NeedSlot", "Order", "OrderStep", "OrderSystem", "wanted_of"]
 
-_RETRY_MIN_S = 2.0
-_RETRY_MAX_S = 120.0
+_MIN_RETRY_S = 2.0
+_MAX_RETRY_S = 120.0
 
 
 @attrs.frozen
 class Order:
-    """Tell the engine to hold exactly this.
+    """Tell the engine to hold exactly this state.
 
     Attributes:
-        fence: Fencing number; an engine that checks refuses a number below its highest.
+        fence: Fencing token; an engine that checks it refuses one below the highest it has seen.
     """
 
     models: dict[str, str]
@@ -29,10 +29,10 @@
 
 @attrs.frozen
 class NeedSlot:
-    """Give this order once the roll-out lets this endpoint load.
+    """Give this order once the rollout allows this endpoint to load.
 
     Attributes:
-        interrupts: Whether the engine serves callers now and won't while it follows the order.
+        interrupts: Whether the engine serves callers now and can't while it carries out the order.
     """
 
     order: Order
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Hold:
-    """Order nothing now."""
+    """Send no order now."""
 
     reason: str
 
@@ -57,26 +57,27 @@
 
 
 class OrderSystem:
-    """Compares what the engine has with what is wanted; keeps no belief of what it ordered.
+    """Compares an engine's state with the wanted state and decides the next order.
 
-    Harm: an answer lost after its effect, a sidecar that was paused or replaced, or an engine that
-    ignores the fencing number leaves the engine in a state that nobody remembers ordering. Each
-    decision starts from a fresh read-back, and an order names the whole state, so a repeat is
-    harmless and an old order that an engine obeyed is undone by the next read-back.
+    It does not rely on earlier orders: after a lost answer, a paused or replaced sidecar, or an
+    engine that ignores the fencing token, the engine may be in a state that its sidecar did not
+    order. Each decision starts from the state just read from the engine, and an order names the
+    whole state. So a repeat is harmless, and a stale order that the engine carried out is corrected
+    after the next read.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._failures = 0
-        self._retry_s = 0.0
+        self._retry_at_s = 0.0
 
     def decide(self, wanted: Wanted, state: EngineState, now_s: float) -> OrderStep:
         """Return the next step towards the wanted state."""
         if state.fence is not None and state.fence > wanted.fence:
-            # Another sidecar of this slot, or this one before a restart, knew newer settings.
+            # Another sidecar of this slot, or this one before a restart, had newer settings.
             return Hold(f"settings {wanted.fence} here are older than the engine's {state.fence}")
         if state.is_loading:
-            return self._while_loading(wanted, state)
+            return self._decide_while_loading(wanted, state)
         if state.fulfils(wanted):
             self._failures = 0
             return Hold("the engine holds what is wanted")
@@ -89,27 +90,27 @@
         return order
 
     def ordered(self, now_s: float, *, refused: bool) -> None:
-        """Note that an order was given; a refusal by the store or engine waits ever longer.
+        """Record the result of an order; refusals are retried with backoff and jitter.
 
-        Load: a weight store that is slow or full for long, and every engine of a roll-out behind
-        it. Repeats in step would keep it full; two minutes is the most that a recovered store
-        stays idle.
+        A refusal may come from a weight store that is slow or full while every engine of a rollout
+        waits for it, and synchronized retries would keep it full. The maximum of two minutes limits
+        how long a recovered store stays idle.
         """
         if not refused:
             return
         self._failures = min(self._failures + 1, 16)
-        longest_s = min(_RETRY_MAX_S, _RETRY_MIN_S * 2.0**self._failures)
-        self._retry_s = now_s + longest_s * (0.5 + 0.5 * self._rng.random())
+        longest_s = min(_MAX_RETRY_S, _MIN_RETRY_S * 2.0**self._failures)
+        self._retry_at_s = now_s + longest_s * (0.5 + 0.5 * self._rng.random())
 
     def _backs_off(self, state: EngineState, now_s: float) -> bool:
-        if state.failed and now_s >= self._retry_s and self._failures == 0:
+        if state.failed and now_s >= self._retry_at_s and self._failures == 0:
             self.ordered(now_s, refused=True)
-        return now_s < self._retry_s
+        return now_s < self._retry_at_s
 
-    def _while_loading(self, wanted: Wanted, state: EngineState) -> OrderStep:
-        """Leave a load alone however long it takes, unless its result is not wanted any more.
+    def _decide_while_loading(self, wanted: Wanted, state: EngineState) -> OrderStep:
+        """Let a load continue however long it takes, unless its result is no longer wanted.
 
-        A second order of the same load would start it anew at a store that is slow already.
+        Ordering the same load again would restart it at a store that is already slow.
         """
         models = state.loading.items() <= wanted.models.items()
         if models and set(state.loading_adapters) <= set(wanted.adapters):
@@ -127,7 +128,7 @@
 
 
 def _next_order(wanted: Wanted, state: EngineState) -> Order:
-    """Return the state after one more load: what is not wanted goes, one missing piece comes."""
+    """Return an order that drops what is not wanted and adds one missing model or adapter."""
     models = _ready(wanted, state)
     adapters = [a for a in wanted.adapters if a in state.adapters]
     missing_models = [name for name in sorted(wanted.models) if name not in models]
--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -1,15 +1,16 @@
-"""Whether an endpoint may stop serving and load, by turns that the log puts in order.
+"""Decides whether an endpoint may stop serving and load, by turns in the order of the log.
 
-The rule holds without agreement between nodes. A turn counts from its record's place in the log,
-which is the same for every reader, and whoever has one takes everybody before it as not serving:
+No further agreement between nodes is needed. The offset of its record gives each turn the same
+position for every reader. The holder of a turn counts all holders of earlier turns as not serving,
+and may load if both conditions hold:
 
-* fewer than ``parallel_loads`` turns stand before one's own, so no more load at a time, whatever
-  hosts the nodes know of;
-* of those that say now that they serve, at least ``min_serving`` have no turn before one's own. Who
-  has a turn behind takes this endpoint as not serving in its turn. So when the last of them stops,
-  it has itself heard ``min_serving`` others that serve and hold no earlier turn.
+* Fewer than ``parallel_loads`` turns precede its own. So no more endpoints load at a time,
+  whichever hosts the nodes know.
+* At least ``min_serving`` endpoints that say now that they serve hold no earlier turn. Holders of
+  later turns count this endpoint as not serving in the same way. So the last one to stop has itself
+  heard from ``min_serving`` others that serve and hold no earlier turn.
 
-While the log is down no load starts that takes an endpoint out of service.
+While the log is down, no load starts that takes an endpoint out of service.
 """
 
 import math
@@ -24,39 +25,41 @@
 
 __all__ = ["EndTurn", "RenewTurn", "TakeTurn", "TurnStep", "TurnSystem"]
 
-# Load: a version for all 700 endpoints at once, three appends and more for each. Harm: the log
-# takes several hundred a second, for operators' changes and key claims too. Takes are spread over
-# this time, 70 a second; the rest comes as slowly as the loads.
+# A new version for all 700 endpoints causes at least three appends for each, and the log accepts
+# several hundred per second, including operators' changes and key claims. So takes are spread over
+# this time, which makes 70 per second; the other appends are as slow as the loads.
 _SPREAD_S = 10.0
-# A take without an answer is repeated after this; a second copy changes nothing.
+# A take that is not seen on the log is repeated after this time; a second copy has no effect.
 _TAKE_AGAIN_S = 5.0
-# Load: an endpoint died with a turn. Harm: all behind it wait for good. Its turn is ended by others
-# once their lists lack it and nothing renewed the turn for this long; a list alone may lack a live
-# one for minutes. An end names the renewal that it knew, so it can't end a turn renewed meanwhile.
+# The turn of a dead endpoint would block all later ones forever. Others end it once the endpoint is
+# missing from their list and the turn was not renewed for this time; a live endpoint may be missing
+# from the list for minutes. The end record names the last known renewal, so it can't end a turn
+# that was renewed since.
 _SILENT_S = 90.0
 _RENEW_S = 30.0
-# Who was paused acts on its turn only within this time of its last renewal, well before others may
-# end it. A pause between this check and the order is left: one load too many at the store, and the
-# floor holds all the same, since who was passed over counts only if it says that it serves.
-_HOLDS_S = 60.0
-# Load: the first in turn would take the service below its floor, and an engine that starts empty,
-# which would raise it, waits behind. After this the first queues up again at the end.
+# An endpoint uses its turn only within this time after its last renewal, well before others may end
+# it, in case the process was paused. A pause between this check and the order remains possible. It
+# causes one load too many at the store, but min_serving still holds, since an endpoint whose turn
+# was ended counts only if it says that it serves.
+_HOLD_S = 60.0
+# If the first turn would take the service below min_serving, an engine that starts empty and would
+# add capacity may wait behind it. After this time the first endpoint moves to the end of the queue.
 _YIELD_S = 10.0
 
 
 @attrs.frozen
 class TakeTurn:
-    """Queue up."""
+    """Append a record that takes a turn."""
 
 
 @attrs.frozen
 class RenewTurn:
-    """Show that the own turn is still used."""
+    """Renew this endpoint's turn."""
 
 
 @attrs.frozen
 class EndTurn:
-    """End the turn of an endpoint: the own one that is done or yields, or that of one gone."""
+    """End this endpoint's turn when it is done or yields, or the turn of a dead endpoint."""
 
     endpoint_id: str
     renewed_at: int
@@ -67,26 +70,26 @@
 
 @attrs.frozen
 class _Renewal:
-    """A renewal and when it was first seen here."""
+    """A renewal and the time at which this process first saw it."""
 
     offset: int
     seen_s: float
 
 
 class TurnSystem:
-    """Decides for one endpoint from the queue and what the others say of themselves."""
+    """Decides for one endpoint from the turn queue and the answers of the others."""
 
     def __init__(self, endpoint_id: str, rng: random.Random) -> None:
         self._endpoint_id = endpoint_id
         self._rng = rng
-        self._take_s: float | None = None
+        self._take_at_s: float | None = None
         self._held_back_since_s: float | None = None
-        self._seen: dict[str, _Renewal] = {}
-        self._own: _Renewal | None = None
-        self._own_first: int | None = None
+        self._seen_renewals: dict[str, _Renewal] = {}
+        self._own_renewal: _Renewal | None = None
+        self._first_own_offset: int | None = None
 
     def is_near(self, queue: TurnQueue, limits: RolloutLimits) -> bool:
-        """Whether this endpoint's turn has come, so that the others are to be asked."""
+        """Whether this endpoint's turn has come, so that the others must be asked."""
         taken = queue.turn(self._endpoint_id) is not None
         return taken and len(queue.before(self._endpoint_id)) < limits.parallel_loads
 
@@ -102,21 +105,21 @@
         """Return the next step of an endpoint that has to load.
 
         Args:
-            queue: Turns as the log has them now.
-            listed: Other endpoints of the service by the host list.
-            answers: What others said just now, after the own turn was seen on the log.
+            queue: Current turns on the log.
+            listed: Other endpoints of the service in the host list.
+            answers: Answers of others, given after this endpoint's turn was seen on the log.
             limits: The service's limits.
-            interrupts: Whether this endpoint serves now and won't while it loads.
+            interrupts: Whether this endpoint serves now and can't while it loads.
             now_s: Monotonic time.
         """
         before = queue.before(self._endpoint_id)
-        gone = self._gone(before, listed, now_s)
+        gone = self._abandoned_turn(before, listed, now_s)
         if gone is not None:
             return EndTurn(gone, before[gone].renewed_at)
         own = queue.turn(self._endpoint_id)
         if own is None:
-            return self._take(now_s)
-        self._take_s = None
+            return self._take_turn(now_s)
+        self._take_at_s = None
         if len(before) >= limits.parallel_loads:
             return Stay(f"{limits.parallel_loads} may load at once; ahead: {_names(before)}")
         if not self.holds(queue, now_s):
@@ -128,37 +131,37 @@
         return self._hold_back(own, kept, limits, now_s)
 
     def holds(self, queue: TurnQueue, now_s: float) -> bool:
-        """Whether this process has renewed its turn of late, so that nobody else may end it."""
-        return self._renewed_age_s(queue, now_s) < _HOLDS_S
+        """Whether this process renewed its turn recently, so that no other may end it."""
+        return self._renewed_age_s(queue, now_s) < _HOLD_S
 
     def renews(self, queue: TurnQueue, now_s: float) -> bool:
-        """Whether the own turn is to be renewed."""
+        """Whether this endpoint's turn must be renewed now."""
         taken = queue.turn(self._endpoint_id) is not None
         return taken and self._renewed_age_s(queue, now_s) >= _RENEW_S
 
     def _renewed_age_s(self, queue: TurnQueue, now_s: float) -> float:
-        """Return the time since a renewal of the own turn by this process was seen.
+        """Return the time since this process saw its own last renewal of the turn.
 
-        The record that was there when this process first looked may be a predecessor's.
+        The renewal that was there at the first call may come from an earlier process.
         """
         turn = queue.turn(self._endpoint_id)
         if turn is None:
-            self._own, self._own_first = None, None
+            self._own_renewal, self._first_own_offset = None, None
             return math.inf
-        if self._own_first is None:
-            self._own_first = turn.renewed_at
-        if turn.renewed_at == self._own_first:
+        if self._first_own_offset is None:
+            self._first_own_offset = turn.renewed_at
+        if turn.renewed_at == self._first_own_offset:
             return math.inf
-        if self._own is None or self._own.offset != turn.renewed_at:
-            self._own = _Renewal(turn.renewed_at, now_s)
-        return now_s - self._own.seen_s
-
-    def _take(self, now_s: float) -> TurnStep:
-        if self._take_s is None:
-            self._take_s = now_s + self._rng.uniform(0.0, _SPREAD_S)
-        if now_s < self._take_s:
+        if self._own_renewal is None or self._own_renewal.offset != turn.renewed_at:
+            self._own_renewal = _Renewal(turn.renewed_at, now_s)
+        return now_s - self._own_renewal.seen_s
+
+    def _take_turn(self, now_s: float) -> TurnStep:
+        if self._take_at_s is None:
+            self._take_at_s = now_s + self._rng.uniform(0.0, _SPREAD_S)
+        if now_s < self._take_at_s:
             return Stay("about to queue up on the log")
-        self._take_s = now_s + _TAKE_AGAIN_S
+        self._take_at_s = now_s + _TAKE_AGAIN_S
         return TakeTurn()
 
     def _hold_back(
@@ -171,13 +174,13 @@
             return EndTurn(self._endpoint_id, own.renewed_at)
         return Stay(f"{kept} others would serve; min_serving is {limits.min_serving}")
 
-    def _gone(
+    def _abandoned_turn(
         self, before: Mapping[str, Turn], listed: Collection[str], now_s: float
     ) -> str | None:
-        """Return an endpoint whose turn nobody uses any more."""
+        """Return an endpoint that is dead but holds an earlier turn, or None."""
         missing = {name: turn for name, turn in before.items() if name not in listed}
-        seen = {name: self._seen.get(name) for name in missing}
-        self._seen = {
+        seen = {name: self._seen_renewals.get(name) for name in missing}
+        self._seen_renewals = {
             name: (
                 known
                 if known is not None and known.offset == missing[name].renewed_at
@@ -185,7 +188,7 @@
             )
             for name, known in seen.items()
         }
-        for name, renewal in self._seen.items():
+        for name, renewal in self._seen_renewals.items():
             if now_s - renewal.seen_s >= _SILENT_S:
                 return name
         return None
--- a/src/beryljunction/tables/__init__.py
+++ b/src/beryljunction/tables/__init__.py
@@ -1,4 +1,4 @@
-"""Entities: attrs rows in tables. Systems decide over them; tables only keep them."""
+"""In-memory tables of attrs rows; ``beryljunction.systems`` contains the decisions on them."""
 
 from beryljunction.tables.accounts import AccountQueue, AccountTable
 from beryljunction.tables.chats import ChatPointer, ChatTable
--- a/src/beryljunction/tables/accounts.py
+++ b/src/beryljunction/tables/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts with work at one sidecar."""
+"""Client accounts with waiting or running requests at one sidecar."""
 
 import heapq
 from collections import deque
@@ -10,13 +10,13 @@
 
 @attrs.define(eq=False)
 class AccountQueue:
-    """One client account's waiting requests, round-robin deficit and share of what runs.
+    """One client account's waiting requests, round-robin deficit and number of running requests.
 
     Attributes:
-        waiting: Heap of (negated priority, order of arrival, request id); rows of requests that
-            ended meanwhile stay until they reach the top.
-        waiting_count: Requests that really wait.
-        waiting_tokens: Their estimated work.
+        waiting: Heap of (negated priority, order of arrival, request id); items of requests that
+            have ended stay until they reach the top.
+        waiting_count: Waiting requests, without such items.
+        waiting_tokens: Estimated work of the waiting requests.
     """
 
     account: str
@@ -37,7 +37,7 @@
 
 
 class AccountTable:
-    """Accounts with work here; those with waiting work also stand in the round-robin ring."""
+    """Active accounts; those with waiting requests are also in the round-robin ring."""
 
     def __init__(self) -> None:
         self._rows: dict[str, AccountQueue] = {}
@@ -48,11 +48,11 @@
         return len(self._rows)
 
     def get(self, account: str) -> AccountQueue | None:
-        """Return the account's row, or None when it has no work here."""
+        """Return the account's row, or None if it has no requests here."""
         return self._rows.get(account)
 
     def open(self, account: str, weight: float) -> AccountQueue:
-        """Return the account's row, made if need be, with its present weight."""
+        """Return the account's row with its weight updated; create the row if it is missing."""
         row = self._rows.get(account)
         if row is None:
             row = self._rows[account] = AccountQueue(account, 0.0)
@@ -61,7 +61,7 @@
         return row
 
     def release(self, row: AccountQueue) -> None:
-        """Forget an account that has neither waiting nor running work."""
+        """Remove the account if it has neither waiting nor running requests."""
         if row.waiting_count == 0 and row.running_count == 0:
             del self._rows[row.account]
             self.active_weight = self.active_weight - row.weight if self._rows else 0.0
--- a/src/beryljunction/tables/chats.py
+++ b/src/beryljunction/tables/chats.py
@@ -1,4 +1,4 @@
-"""Where returning chats have their prefix, as far as one sidecar knows."""
+"""Locations of cached chat prefixes that one sidecar knows."""
 
 from collections import OrderedDict
 
@@ -20,9 +20,9 @@
 
 
 class ChatTable:
-    """Bounded table of chat pointers; the least recently used row makes room for a new one.
+    """Bounded table of chat pointers with LRU eviction.
 
-    At the target 8.8 million chats over 700 sidecars are some 12,600 rows each. The capacity
+    At the target, 8.8 million chats over 700 sidecars make about 12,600 rows each. The capacity
     leaves room for skew and keeps the table under 10 MB whatever the callers send.
     """
 
@@ -34,7 +34,7 @@
         return len(self._rows)
 
     def get(self, chat_key: int, now_s: float) -> ChatPointer | None:
-        """Return the live pointer of a chat and mark it as used."""
+        """Return the pointer of a chat unless it has expired, and mark it as used."""
         row = self._rows.get(chat_key)
         if row is None:
             return None
--- a/src/beryljunction/tables/endpoints.py
+++ b/src/beryljunction/tables/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as one process sees them."""
+"""Endpoints known to one process."""
 
 import enum
 import math
@@ -19,15 +19,15 @@
 
 @attrs.define
 class Endpoint:
-    """A back end and the sidecar beside it.
+    """A model engine or plain service with its sidecar.
 
     Attributes:
-        endpoint_id: Stable name of the slot; survives a replacement of the host.
-        incarnation: Changes whenever the sidecar in the slot starts anew; empty when unknown.
+        endpoint_id: Stable name of the slot; it stays the same when the host is replaced.
+        incarnation: Changes whenever the slot's sidecar restarts; empty if unknown.
         weight: Share of new chats relative to the other endpoints of the service.
-        suspect_until_s: Monotonic time until which a failed connection keeps new work away.
-        joined_s: Monotonic time at which this process first saw the present incarnation; minus
-            infinity when it was there from the start.
+        suspect_until_s: Monotonic time until which the endpoint is suspect.
+        joined_s: Monotonic time at which this process first saw the current incarnation; minus
+            infinity if it was there from the start.
     """
 
     endpoint_id: str
@@ -58,7 +58,7 @@
         return iter(tuple(self._rows.values()))
 
     def get(self, endpoint_id: str) -> Endpoint | None:
-        """Return the row, or None when the endpoint is not known."""
+        """Return the row, or None if the endpoint is unknown."""
         return self._rows.get(endpoint_id)
 
     def put(self, row: Endpoint) -> None:
@@ -68,11 +68,11 @@
         self._by_service.setdefault(row.service, {})[row.endpoint_id] = row
 
     def remove(self, endpoint_id: str) -> None:
-        """Forget an endpoint; unknown ids are ignored."""
+        """Remove an endpoint; unknown ids are ignored."""
         row = self._rows.pop(endpoint_id, None)
         if row is not None:
             del self._by_service[row.service][endpoint_id]
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service, whatever their state."""
+        """Return the endpoints of a service in any state."""
         return list(self._by_service.get(service, {}).values())
--- a/src/beryljunction/tables/orders.py
+++ b/src/beryljunction/tables/orders.py
@@ -1,4 +1,4 @@
-"""What engines should hold, what they hold, and how far each endpoint of a service is."""
+"""Wanted and actual state of engines, and the rollout progress of each endpoint."""
 
 import enum
 from collections.abc import Iterator
@@ -10,9 +10,10 @@
 
 
 class Phase(enum.StrEnum):
-    """What an endpoint does about its orders.
+    """Phase of an endpoint in a rollout.
 
-    ``DRAINING`` takes no new work and waits for what runs; ``LOADING`` can't serve.
+    In ``DRAINING`` it takes no new requests and waits for the running ones; in ``LOADING`` it can't
+    serve.
     """
 
     SERVING = "serving"
@@ -24,11 +25,11 @@
 
 @attrs.frozen
 class Wanted:
-    """What the settings want an engine to hold.
+    """State that the settings demand of an engine.
 
     Attributes:
         models: Version by model name.
-        fence: Version of the settings, which is an offset of the log: the fencing number.
+        fence: Fencing token: the version of the settings, which is an offset of the log.
     """
 
     models: dict[str, str]
@@ -39,13 +40,13 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine says that it holds.
+    """State that an engine reports.
 
     Attributes:
         models: Version by name of the models that are ready.
         loading: Version by name of the models that are being loaded.
-        fence: Highest fencing number it took an order with; None when it does not keep any.
-        failed: Why the last load failed; empty when it did not.
+        fence: Highest fencing token of an accepted order; None if the engine stores none.
+        failed: Why the last load failed; empty if it did not.
     """
 
     models: dict[str, str] = attrs.field(factory=dict)
@@ -58,25 +59,25 @@
 
     @property
     def is_loading(self) -> bool:
-        """Whether any load is under way."""
+        """Whether a load is in progress."""
         return bool(self.loading or self.loading_adapters)
 
     def serves(self, wanted: Wanted) -> bool:
-        """Whether callers of every wanted model are served, if by an older version."""
+        """Whether every wanted model can be served, possibly in an older version."""
         return not self.is_loading and wanted.models.keys() <= self.models.keys()
 
     def fulfils(self, wanted: Wanted) -> bool:
-        """Whether the engine holds just what is wanted."""
+        """Whether the engine's state equals the wanted state."""
         has = (self.models, set(self.adapters), self.role)
         wants = (wanted.models, set(wanted.adapters), wanted.role)
         return not self.is_loading and has == wants
 
     @staticmethod
     def from_data(data: Any) -> "EngineState":
-        """Return the state in an engine's answer.
+        """Return the state from an engine's answer.
 
         Raises:
-            ValueError: When the data does not fit.
+            ValueError: If the data does not describe an engine's state.
         """
         try:
             return EngineState(
@@ -94,11 +95,11 @@
 
 @attrs.frozen
 class OrderRow:
-    """How far one endpoint is, as its sidecar tells the others of its service.
+    """Rollout progress of one endpoint, as its sidecar reports it to others of its service.
 
     Attributes:
-        done: Whether the engine holds what its sidecar's settings want.
-        serves: Whether callers are served.
+        done: Whether the engine is in the state that its sidecar's settings demand.
+        serves: Whether the endpoint serves callers.
     """
 
     endpoint_id: str
@@ -109,13 +110,13 @@
 
 
 class OrderRowTable:
-    """Rows heard of other endpoints and when, also of endpoints that the host list lacks."""
+    """Rows from other endpoints with their receive time; they need not be in the host list."""
 
     def __init__(self) -> None:
         self._rows: dict[str, tuple[OrderRow, float]] = {}
 
     def put(self, row: OrderRow, now_s: float) -> None:
-        """Keep what an endpoint said."""
+        """Store the row of an endpoint."""
         self._rows[row.endpoint_id] = (row, now_s)
 
     def get(self, endpoint_id: str) -> OrderRow | None:
@@ -124,7 +125,7 @@
         return found[0] if found is not None else None
 
     def drop_older(self, heard_s: float) -> None:
-        """Forget rows that were last heard before a time."""
+        """Remove rows that were received before a time."""
         self._rows = {i: pair for i, pair in self._rows.items() if pair[1] >= heard_s}
 
     def __iter__(self) -> Iterator[OrderRow]:
--- a/src/beryljunction/tables/peers.py
+++ b/src/beryljunction/tables/peers.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of the load of the other endpoints of its service."""
+"""Load of the other endpoints of a service, as known to one sidecar."""
 
 from collections.abc import Iterator
 
@@ -9,19 +9,19 @@
 __all__ = ["PeerLoad", "PeerTable"]
 
 
-# Rows are passed on for seconds; past this nobody has an old copy left.
-_KEPT_S = 120.0
+# Rows are passed on for seconds only, so no old copy is left after this time.
+_RETENTION_S = 120.0
 
 
 @attrs.frozen
 class PeerLoad:
-    """A peer's newest row.
+    """A peer's newest load row.
 
     Attributes:
-        heard_s: Monotonic time here at which the row got newer.
-        since_s: Monotonic time here at which this incarnation was first heard of.
+        heard_s: Local monotonic time at which the row was received.
+        since_s: Local monotonic time at which the first row of this incarnation was received.
         silent: Whether the peer left or did not answer since.
-        before: Incarnation that this one replaced; empty when none was known.
+        before: Incarnation that this one replaced; empty if none was known.
     """
 
     row: LoadRow
@@ -32,7 +32,7 @@
 
 
 class PeerTable:
-    """Newest load row of each peer; silent ones are known to no one but :meth:`merge`."""
+    """Newest load row of each peer; only :meth:`merge` considers silent peers."""
 
     def __init__(self) -> None:
         self._rows: dict[str, PeerLoad] = {}
@@ -44,19 +44,20 @@
         return iter([peer for peer in self._rows.values() if not peer.silent])
 
     def get(self, endpoint_id: str) -> PeerLoad | None:
-        """Return the newest row of an endpoint."""
+        """Return the newest row of an endpoint, or None if it is unknown or silent."""
         peer = self._rows.get(endpoint_id)
         return None if peer is None or peer.silent else peer
 
     def heard_after(self, since_s: float) -> list[PeerLoad]:
-        """Return the rows that got newer after a time."""
+        """Return the peers whose newest row was received after a time."""
         return [peer for peer in self if peer.heard_s > since_s]
 
     def merge(self, row: LoadRow, now_s: float) -> bool:
-        """Keep the row if it is newer than the one known; say whether it was.
+        """Store the row if it is newer than the known one; return whether it was.
 
-        Incarnations have no order. A copy of the row before a restart that comes late would undo
-        it, and the endpoint would seem to join once more with the next row; so it is told apart.
+        Incarnations have no order. A late copy of a row from before a restart must not replace the
+        new incarnation, or the endpoint would seem to join again with its next row. So rows of the
+        previous incarnation are ignored.
         """
         known = self._rows.get(row.endpoint_id)
         if known is None:
@@ -75,17 +76,17 @@
         return True
 
     def silence(self, endpoint_id: str) -> None:
-        """Let the row of an endpoint count no more until a newer one; unknown ids are ignored.
+        """Ignore an endpoint until a newer row arrives; unknown ids are ignored.
 
-        The row itself stays: dropped, it would count as fresh again when a peer that has not
-        noticed yet passes it on, and two peers could keep it alive between them.
+        The row itself is kept. If it were removed, a copy from a peer that has not noticed yet
+        would count as fresh, and two peers could keep the row alive between them.
         """
         known = self._rows.get(endpoint_id)
         if known is not None:
             self._rows[endpoint_id] = attrs.evolve(known, silent=True)
 
     def _prune(self, now_s: float) -> None:
-        """Drop what nobody passes on any more, so that replaced endpoints do not pile up."""
+        """Remove old rows, so that replaced endpoints do not accumulate."""
         for endpoint_id, peer in tuple(self._rows.items()):
-            if now_s - peer.heard_s > _KEPT_S:
+            if now_s - peer.heard_s > _RETENTION_S:
                 del self._rows[endpoint_id]
--- a/src/beryljunction/tables/prefixes.py
+++ b/src/beryljunction/tables/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefixes that an engine has cached, under the names by which it exports them."""
+"""Prefixes that an engine has cached, with the chat ids under which it exports them."""
 
 from collections import OrderedDict
 
@@ -6,8 +6,9 @@
 
 __all__ = ["Prefix", "PrefixTable"]
 
-# 333 bytes a row with an id of 36 letters, 553 with one of 256: 1.4 to 2.3 MB of the 64. At the
-# target a sidecar sees 12,600 chats; those that came last are the ones that are worth moving.
+# A row takes 333 bytes with a chat id of 36 characters and 553 with one of 256, so the table takes
+# 1.4 to 2.3 MB of the 64 MB. At the target a sidecar sees 12,600 chats, of which only the latest
+# are worth transferring.
 _DEFAULT_CAPACITY = 4096
 
 
@@ -16,9 +17,9 @@
     """One chat's cached prefix.
 
     Attributes:
-        chat_id: The engine's own name of the chat.
+        chat_id: The engine's id of the chat.
         tokens: Estimated length.
-        used_s: Monotonic time of the last answer, here or where it was handed on from.
+        used_s: Monotonic time of the last answer, here or at the endpoint it was transferred from.
     """
 
     chat_key: int
@@ -28,7 +29,7 @@
 
 
 class PrefixTable:
-    """Bounded table of prefixes; the one that was put longest ago makes room for a new one."""
+    """Bounded table of prefixes; when it is full, the prefix stored longest ago is evicted."""
 
     def __init__(self, capacity: int = _DEFAULT_CAPACITY) -> None:
         self._capacity = capacity
--- a/src/beryljunction/tables/requests.py
+++ b/src/beryljunction/tables/requests.py
@@ -1,4 +1,4 @@
-"""Requests that a sidecar has admitted: waiting or running."""
+"""Waiting and running requests of one sidecar."""
 
 import enum
 from collections.abc import Iterator
@@ -8,14 +8,14 @@
 __all__ = ["PREFILL_SHARE", "RequestTable", "Work", "WorkState"]
 
 
-# Work of a cold prompt token in tokens of an answer. An engine takes in some 20,000 prompt tokens a
-# second and gives 3,000 to 4,000; counted alike, an endpoint that has just come back and prefills
-# every chat would look overloaded while its batch is half empty.
+# Cost of an uncached prompt token in output tokens. An engine prefills about 20,000 tokens a second
+# and generates 3,000 to 4,000. If both counted alike, an endpoint that has just restarted and
+# prefills every chat would look overloaded while its batch is half empty.
 PREFILL_SHARE = 0.15
 
 
 class WorkState(enum.StrEnum):
-    """Where a request stands at the sidecar."""
+    """State of a request at the sidecar."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -23,19 +23,19 @@
 
 @attrs.define
 class Work:
-    """One request at the sidecar that it was offered to.
+    """One request at a sidecar.
 
     Attributes:
-        chat_key: 64-bit hash of client account and chat id; None for work without a chat.
+        chat_key: 64-bit hash of client account and chat id; None for a request without a chat.
         prompt_tokens: Estimated tokens of the prompt.
         output_tokens: Estimated tokens of the answer.
         cached_tokens: Estimated tokens of the prompt that are cached at this endpoint.
         arrived_s: Monotonic time of arrival.
-        deadline_s: Monotonic time after which a start is of no use to the caller.
-        warm: Whether the entry or a pointer says the prefix is cached here.
-        last_resort: Whether every other candidate has refused already.
-        only_if_warm: Whether the request is wanted here only if its prefix is cached here.
-        ignore_pointer: Whether a pointer to another endpoint was tried in vain already.
+        deadline_s: Monotonic time after which a start is useless to the caller.
+        warm: Whether the prefix is cached here according to the entry or a pointer.
+        last_resort: Whether every other candidate has already refused.
+        only_if_warm: Whether to refuse the request unless its prefix is cached here.
+        ignore_pointer: Whether a pointer to another endpoint was already tried without success.
         give_up_s: Monotonic time until which the request may wait here; set on admission.
     """
 
@@ -59,13 +59,13 @@
 
     @property
     def cost_tokens(self) -> int:
-        """Work in tokens of an answer; at least one, so that every request counts."""
+        """Cost of the request in output tokens; at least one, so that every request counts."""
         cold_tokens = self.prompt_tokens - self.cached_tokens
         return max(1, int(PREFILL_SHARE * cold_tokens) + self.output_tokens)
 
 
 class RequestTable:
-    """Admitted requests by id, with the sums that the load bound needs kept up to date."""
+    """Admitted requests by id, with the running sums that the load bound needs."""
 
     def __init__(self) -> None:
         self._rows: dict[str, Work] = {}
@@ -84,7 +84,7 @@
         return len(self._rows) - self.running_count
 
     def get(self, request_id: str) -> Work | None:
-        """Return the row, or None when the request is not known here."""
+        """Return the row, or None if the request is unknown."""
         return self._rows.get(request_id)
 
     def add(self, work: Work) -> None:
@@ -99,7 +99,7 @@
         self.running_tokens += work.cost_tokens
 
     def remove(self, request_id: str) -> Work | None:
-        """Forget a request and return its row."""
+        """Remove a request and return its row."""
         work = self._rows.pop(request_id, None)
         if work is not None and work.state is WorkState.RUNNING:
             self.running_count -= 1
--- a/src/beryljunction/tables/tickets.py
+++ b/src/beryljunction/tables/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets of non-idempotent requests, and what one sidecar knows of each."""
+"""Tickets of non-idempotent requests, and their state at one sidecar."""
 
 import enum
 from collections import OrderedDict
@@ -12,11 +12,11 @@
 
 @attrs.frozen
 class Stamp:
-    """A sidecar's own name and time, as it tells them to entries.
+    """A sidecar's identity and time, as it sends them to entries.
 
     Attributes:
-        incarnation: Names one start of the sidecar; it never comes back after a restart.
-        issued_ms: Time of that sidecar since its start. No other clock judges a ticket.
+        incarnation: Id of one run of the sidecar process; never used again after a restart.
+        issued_ms: Milliseconds since the sidecar's start. Tickets expire by this clock only.
     """
 
     endpoint_id: str
@@ -24,12 +24,12 @@
     issued_ms: int
 
     def to_text(self) -> str:
-        """Return the stamp as it goes into a header."""
+        """Return the stamp as a header value."""
         return f"{self.endpoint_id}/{self.incarnation}/{self.issued_ms}"
 
     @classmethod
     def from_text(cls, text: str) -> "Stamp | None":
-        """Return the stamp in a header, or None when it is not one."""
+        """Return the stamp of a header value, or None if it is malformed."""
         endpoint_id, _, rest = text.partition("/")
         incarnation, _, issued = rest.partition("/")
         if not (endpoint_id and incarnation and issued.isascii() and issued.isdigit()):
@@ -42,9 +42,9 @@
     """The right to run one request at one incarnation of one sidecar.
 
     Attributes:
-        serial: Unique; the row of the ticket at its sidecar goes by it.
-        body_digest: Body that the ticket is for; empty until its first claim binds one.
-        genuine: Whether its code was written under the fleet's key.
+        serial: Unique id, the key of the ticket's row at its sidecar.
+        body_digest: Digest of the request that the ticket is for; empty until its first claim.
+        genuine: Whether it is signed with the fleet's key.
     """
 
     stamp: Stamp
@@ -55,7 +55,7 @@
 
 
 class TicketState(enum.StrEnum):
-    """Where a ticket stands; it only moves down this list."""
+    """State of a ticket; it only changes to states further down this list."""
 
     CLAIMED = "claimed"
     RUNNING = "running"
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class Answer:
-    """A whole answer, kept so that a retry gets it again."""
+    """A whole answer, stored to be replayed to a retry."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -83,12 +83,12 @@
     """One claimed ticket.
 
     Attributes:
-        request_id: The caller's request that claimed it first.
-        deadline_ms: Time of the sidecar after which it may not start.
-        expires_ms: Time of the sidecar up to which a claim may still meet this row.
-        answer: The whole answer; None before it is there, or when it was too large to keep.
-        refusal: How a failed run ended.
-        successor: The one ticket that replaces a burned one; None while none was named.
+        request_id: Id of the caller's request that claimed the ticket first.
+        deadline_ms: Sidecar time after which the request may not start.
+        expires_ms: Sidecar time up to which a claim may still find this row.
+        answer: The whole answer; None until the request has finished, or if it was too large.
+        refusal: Refusal with which a started request failed.
+        successor: The only ticket that may replace a burned one; None until one is minted.
     """
 
     serial: str
@@ -103,7 +103,7 @@
 
 
 class TicketTable:
-    """Claimed tickets by serial, with the bytes of the kept answers summed up."""
+    """Claimed tickets by serial, with the total size of the stored answers."""
 
     def __init__(self) -> None:
         self._rows: dict[str, TicketRow] = {}
@@ -114,7 +114,7 @@
         return len(self._rows)
 
     def get(self, serial: str) -> TicketRow | None:
-        """Return the row of a ticket, or None when it was never claimed or has expired."""
+        """Return the row of a ticket, or None if it was never claimed or has expired."""
         return self._rows.get(serial)
 
     def rows(self) -> list[TicketRow]:
@@ -126,7 +126,7 @@
         self._rows[row.serial] = row
 
     def keep_answer(self, row: TicketRow, answer: Answer, limit_bytes: int) -> None:
-        """Keep an answer, at the cost of the oldest kept ones when all do not fit."""
+        """Store an answer; drop the oldest ones while their total size exceeds the limit."""
         row.answer = answer
         self._answers[row.serial] = answer.size_bytes
         self.answer_bytes += answer.size_bytes
@@ -136,6 +136,6 @@
             self.answer_bytes -= size_bytes
 
     def forget(self, serial: str) -> None:
-        """Drop a row whose ticket can't be claimed any more."""
+        """Remove the row of a ticket that can't be claimed any more."""
         self._rows.pop(serial, None)
         self.answer_bytes -= self._answers.pop(serial, 0)
--- a/src/beryljunction/tables/turns.py
+++ b/src/beryljunction/tables/turns.py
@@ -1,4 +1,4 @@
-"""Who may load, by the order of a stream on the platform's log."""
+"""Queue of endpoints that take turns to load, ordered by a stream of the platform's log."""
 
 from typing import Any
 
@@ -14,17 +14,17 @@
 
 
 def take_record(endpoint_id: str) -> dict[str, Any]:
-    """Return the record by which an endpoint queues up."""
+    """Return the record with which an endpoint takes a turn."""
     return {_TAKE: endpoint_id}
 
 
 def renew_record(endpoint_id: str) -> dict[str, Any]:
-    """Return the record by which an endpoint shows that it still uses its turn."""
+    """Return the record with which an endpoint renews its turn."""
     return {_RENEW: endpoint_id}
 
 
 def end_record(endpoint_id: str, renewed_at: int) -> dict[str, Any]:
-    """Return the record that ends a turn, unless it was renewed after an offset."""
+    """Return the record that ends a turn unless it was renewed after ``renewed_at``."""
     return {_END: endpoint_id, "offset": renewed_at}
 
 
@@ -33,8 +33,8 @@
     """One endpoint's turn.
 
     Attributes:
-        taken_at: Offset of its record, which gives its place.
-        renewed_at: Offset of the last record by which its endpoint took or renewed it.
+        taken_at: Offset of the record that took it, which determines its position.
+        renewed_at: Offset of the last record that took or renewed it.
     """
 
     taken_at: int
@@ -42,10 +42,10 @@
 
 
 class TurnQueue:
-    """Endpoints that took a turn and have not ended it, oldest first.
+    """Turns that were taken and have not ended, oldest first.
 
-    Every reader applies the same records in the same order, so the turns before one's own are the
-    same for all, whatever hosts they know of.
+    Every reader applies the same records in the same order, so all agree on the turns before a
+    given one, whichever hosts they know.
 
     Attributes:
         read_to: Offset of the last record applied.
@@ -56,7 +56,7 @@
         self._turns: dict[str, Turn] = {}
 
     def apply(self, page: LogPage) -> None:
-        """Apply a page; a turn whose last record the log has dropped is over for all readers."""
+        """Apply a page; a turn ends for all readers when the log has dropped its last record."""
         for record in page.records:
             if record.offset > self.read_to:
                 self._apply(record)
@@ -69,15 +69,15 @@
         return self._turns.get(endpoint_id)
 
     def before(self, endpoint_id: str) -> dict[str, Turn]:
-        """Return the turns before an endpoint's own, by endpoint; all when it has none."""
+        """Return the turns before an endpoint's own, by endpoint; all turns if it has none."""
         own = self._turns.get(endpoint_id)
         turns = self._turns.items()
         return {i: turn for i, turn in turns if own is None or turn.taken_at < own.taken_at}
 
     def _apply(self, record: LogRecord) -> None:
-        """Apply one record; what is no such record is passed over by all readers alike."""
+        """Apply one record; every reader ignores records of an unknown form."""
         data = record.data if isinstance(record.data, dict) else {}
-        taker, renewer, ender = (_name(data.get(kind)) for kind in (_TAKE, _RENEW, _END))
+        taker, renewer, ender = (_string_or_empty(data.get(kind)) for kind in (_TAKE, _RENEW, _END))
         if taker:
             self._turns.setdefault(taker, Turn(record.offset, record.offset))
         elif renewer in self._turns:
@@ -86,5 +86,5 @@
             del self._turns[ender]
 
 
-def _name(value: Any) -> str:
+def _string_or_empty(value: Any) -> str:
     return value if isinstance(value, str) else ""
