--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -82,7 +82,7 @@
             self._failures = 0
             return Hold("the engine holds what is wanted")
         if self._backs_off(state, now_s):
-            return Hold(f"the last load failed ({state.failed}); the next follows later")
+            return Hold(f"the last load failed ({state.failed}); retrying after a backoff")
         order = _next_order(wanted, state)
         loads = order.models != _ready(wanted, state) or set(order.adapters) - set(state.adapters)
         if loads or order.role != state.role:
@@ -114,7 +114,7 @@
         """
         models = state.loading.items() <= wanted.models.items()
         if models and set(state.loading_adapters) <= set(wanted.adapters):
-            return Hold("a load is under way")
+            return Hold("a load is in progress")
         return Order(
             _ready(wanted, state),
             tuple(a for a in state.adapters if a in wanted.adapters),
--- a/src/beryljunction/systems/recovery/rollout.py
+++ b/src/beryljunction/systems/recovery/rollout.py
@@ -108,7 +108,7 @@
         if interrupts and kept < limits.min_serving:
             return Stay(f"{kept} others would serve; min_serving is {limits.min_serving}")
         if interrupts and now_s - self._intends_since_s < _ANNOUNCE_S:
-            return Stay("announced; others are being heard")
+            return Stay("announced; waiting for the answers of other endpoints")
         return Go()
 
     def _has_precedence(self, row: OrderRow, interrupts: bool) -> bool:
--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -160,7 +160,7 @@
         if self._take_at_s is None:
             self._take_at_s = now_s + self._rng.uniform(0.0, _SPREAD_S)
         if now_s < self._take_at_s:
-            return Stay("about to queue up on the log")
+            return Stay("waiting to take a turn on the log")
         self._take_at_s = now_s + _TAKE_AGAIN_S
         return TakeTurn()
 
--- a/testing/path_fakes.py
+++ b/testing/path_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes around the real path: an engine that does as the test says, and a silent network."""
+"""Helpers for tests with real entries and sidecars: a scripted engine and a stalling TCP relay."""
 
 import contextlib
 import hashlib
@@ -32,7 +32,7 @@
 
 
 def view_with(*, limits: LimitSettings | None = None, **service) -> FleetView:
-    """Return settings with short times; keywords change those of both services."""
+    """Return settings with short timeouts; keyword arguments change both services."""
     times = {"heartbeat_s": 0.1, "silence_s": 0.6, "engine_silence_s": 0.6, "resume_s": 5.0}
     times |= service
     return FleetView(
@@ -50,7 +50,7 @@
 
 @attrs.define
 class ScriptedEngine:
-    """An engine that holds, breaks off or goes silent before a word, as the test says."""
+    """An engine that pauses, disconnects or hangs before a given word."""
 
     words: int = 5
     hold_at: int | None = None
@@ -104,12 +104,12 @@
         await send({"type": "http.response.body", "body": b"data: [DONE]\n\n"})
 
     def answer(self) -> list[bytes]:
-        """Return the data of the whole answer's events."""
+        """Return the data of all events of the answer."""
         return [b"word%d%s" % (i, self.pad.encode()) for i in range(self.words)] + [b"[DONE]"]
 
 
 class BlackHole:
-    """A TCP relay that can stop passing bytes on the connections it has, while new ones work."""
+    """A TCP relay that can stall its open connections, while new ones work."""
 
     def __init__(self, target: str) -> None:
         self._target = target.rpartition(":")[::2]
@@ -123,7 +123,7 @@
         await listener.serve(self._serve)
 
     def freeze(self) -> None:
-        """Pass nothing any more on the connections that are open now."""
+        """Stop passing bytes on the connections that are open now."""
         for frozen in self._frozen:
             frozen.set()
 
@@ -151,7 +151,7 @@
 
 
 class Path:
-    """Real entries and sidecars on loopback, inside one task group."""
+    """Real entries and sidecars on the loopback interface, in one task group."""
 
     def __init__(self, group, pool, view):
         self.group = group
@@ -170,7 +170,7 @@
         return server.address
 
     async def sidecar(self, endpoint, service="drafter", *, address=None, proxy=False):
-        """Start a sidecar beside an endpoint and make it known; returns the app."""
+        """Start a sidecar for an endpoint, add it to the endpoint table and return its app."""
         back = address or await self.serve(endpoint)
         endpoint_id = f"{service}-{len(self.sidecars)}"
         process = attrs.evolve(PROCESS, log_address=self.log_address)
@@ -187,7 +187,7 @@
         return app
 
     async def breaking_endpoint(self) -> str:
-        """Start an endpoint that reads a request and breaks off; returns its address."""
+        """Start an endpoint that reads a request and disconnects; return its address."""
 
         async def hang_up(client):
             async with client:
@@ -199,7 +199,7 @@
         return f"{host}:{port}"
 
     async def log(self) -> LogModel:
-        """Start a log for the sidecars that are started after it."""
+        """Start a log that sidecars started later use."""
         model = LogModel()
         self.log_address = f"http://{await self.serve(LogStandIn(model))}"
         return model
@@ -218,7 +218,7 @@
         return self.pool.stream("POST", url, headers=headers, content=body)
 
     async def run(self, envelope: Envelope, body=b'{"stream": true}'):
-        """Send a run to the first sidecar and read its answer."""
+        """Open a run at the first sidecar and read its whole answer."""
         async with self.open_run(envelope, body) as response:
             await response.aread()
             return response
@@ -232,7 +232,7 @@
 
 @contextlib.asynccontextmanager
 async def path_of(view=None):
-    """Run the block with an empty path; everything ends with it."""
+    """Yield a path without processes; stop everything when the block ends."""
     async with anyio.create_task_group() as group, client_pool() as pool:
         with anyio.fail_after(30):
             yield Path(group, pool, view or view_with())
@@ -251,11 +251,11 @@
 
 
 def error_of(response) -> dict:
-    """Return the typed error of an answer."""
+    """Return the error object of an answer."""
     return json.loads(response.content)["error"]
 
 
 async def eventually(condition) -> None:
-    """Wait until a condition holds; the test's own bound ends it otherwise."""
+    """Wait until a condition holds; the time limit of ``path_of`` ends the wait otherwise."""
     while not condition():
         await anyio.sleep(0.01)
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -37,15 +37,15 @@
 
 
 class TestOffer:
-    def test_request_that_finds_room_starts_even_if_the_tick_is_late(self):
-        # A busy loop ticks some milliseconds after the offer. A request that may not wait would be
-        # refused although there is room, and walk on to the next endpoint for nothing.
+    def test_admitted_request_starts_even_if_the_tick_is_late(self):
+        # A busy event loop ticks some milliseconds after the offer. A request with no time to wait
+        # would be refused although there is room, and would needlessly try the next endpoint.
         system = admission()
 
         assert isinstance(system.offer(work(1), 0.0), Wait)
         assert started(system, 0.05) == ["r1"]
 
-    def test_cold_request_above_the_bound_goes_elsewhere_at_once(self):
+    def test_cold_request_above_the_bound_is_refused_at_once(self):
         system = admission(peer_running=4)
         for i in range(4):
             system.offer(work(i), 0.0)
@@ -58,9 +58,9 @@
         assert decision.refusal.ran is Ran.NO
         assert decision.refusal.load.running == 4
 
-    def test_cold_request_goes_elsewhere_from_a_tenth_below_the_mean_and_a_warm_one_stays(self):
-        # With the bound at 1.25 times a mean of 10, and 9 running: the cold request goes on, so
-        # that its place is left to the chat that has its prefix here.
+    def test_cold_request_is_refused_from_a_tenth_below_the_mean_and_a_warm_one_admitted(self):
+        # The bound is 1.25 times a mean of 10, and 9 requests run. The cold request is refused, so
+        # that its slot stays free for a chat whose prefix is cached here.
         system = admission(peer_running=10)
         system.pointers.placed(7, "e0", 10_000, 0.0)
         for i in range(9):
@@ -85,7 +85,7 @@
         [refused] = [d for d in system.tick(0.51) if d.request_id == "r9"]
         assert refused.refusal.code is RefusalCode.OVERLOADED
 
-    def test_chat_that_moved_is_pointed_on_unless_the_pointer_failed(self):
+    def test_chat_that_moved_is_refused_with_a_pointer_unless_it_is_ignored(self):
         system = admission()
         system.pointers.placed(7, "e2", 100, 0.0)
 
@@ -100,7 +100,7 @@
 
         assert decision.refusal.code is RefusalCode.NOT_WARM
 
-    def test_leaving_endpoint_takes_nothing_and_lets_what_waits_end(self):
+    def test_leaving_endpoint_refuses_new_requests_and_serves_waiting_ones(self):
         system = admission(max_running=1)
         system.offer(work(1, last_resort=True), 0.0)
         system.offer(work(2, last_resort=True), 0.0)
@@ -114,9 +114,9 @@
 
 
 class TestCancelled:
-    def test_request_that_is_offered_again_gets_its_whole_wait(self):
-        # The entry hangs up on a waiting request and comes back with it as the last resort. The
-        # end of the first wait must not end the second one.
+    def test_request_that_is_offered_again_may_wait_its_full_time(self):
+        # The entry cancels a waiting request and offers it again as the last resort. The expiry of
+        # the first wait must not end the second one.
         system = admission(max_running=1)
         system.offer(work(1, last_resort=True), 0.0)
         system.tick(0.0)
@@ -135,7 +135,7 @@
         decisions = [system.offer(offer, now_s) for offer in offers]
         return [decision for decision in decisions if isinstance(decision, Refuse)]
 
-    def test_queue_of_an_account_is_bounded_and_the_refusal_says_when_to_come_back(self):
+    def test_queue_of_an_account_is_bounded_and_the_refusal_has_a_retry_delay(self):
         system = admission(max_waiting_per_account=10)
 
         refused = self.fill(system, 30, 0.0)
@@ -146,9 +146,9 @@
         assert min(times) >= 0.2
         assert len(set(times)) > 15
 
-    def test_what_could_only_wait_in_vain_is_refused_at_once(self):
-        # The engine takes one request of 100 tokens a second; a queue of five is the whole
-        # deadline. A sixth would wait for five seconds to be told no.
+    def test_request_whose_wait_would_exceed_its_deadline_is_refused_at_once(self):
+        # The engine starts one request of 100 tokens per second, so a queue of five takes the whole
+        # deadline. A sixth request would be refused only after five seconds.
         system = admission(max_running=1)
         for second in range(20):
             system.offer(work(100 + second, now_s=second, last_resort=True), second)
@@ -161,7 +161,7 @@
 
         assert 5 <= len(refused) <= 10
 
-    def test_nothing_starts_too_late_for_its_deadline(self):
+    def test_no_request_starts_too_late_for_its_deadline(self):
         system = admission(max_running=1)
         system.offer(work(1, last_resort=True), 0.0)
         system.tick(0.0)
@@ -176,8 +176,8 @@
 
 class TestFairness:
     def test_surging_account_does_not_delay_a_small_one(self):
-        # One account sends 60 requests, then another sends one. In a single queue it would wait
-        # behind all of them.
+        # One account sends 60 requests, then another sends one, which would wait behind all of them
+        # in a single queue.
         system = admission(max_running=4, max_waiting_per_account=60, reserve_share=0.25)
         for i in range(60):
             system.offer(work(i, "large", last_resort=True), 0.0)
@@ -188,7 +188,7 @@
         assert started(system, 1.0)[0] == "r99"
 
     @pytest.mark.parametrize("weight", [1.0, 3.0], ids=["equal", "triple"])
-    def test_work_started_follows_the_weights(self, weight):
+    def test_started_work_is_proportional_to_the_weights(self, weight):
         system = admission(max_running=1, max_waiting_per_account=200, max_waiting=400)
         system.weights = {"heavy": weight}
         for i in range(150):
@@ -202,7 +202,7 @@
 
         assert counts["heavy"] / counts["light"] == pytest.approx(weight, rel=0.3)
 
-    def test_long_work_pays_for_its_length(self):
+    def test_long_requests_are_charged_for_their_tokens(self):
         system = admission(max_running=1, max_waiting_per_account=99)
         for i in range(40):
             system.offer(work(i, "long", output_tokens=4_000, last_resort=True), 0.0)
@@ -222,7 +222,7 @@
 
         assert started(system, 0.0) == ["r2"]
 
-    def test_cancelled_request_leaves_its_place(self):
+    def test_cancelled_request_frees_its_slot(self):
         system = admission(max_running=1)
         for i in (1, 2, 3):
             system.offer(work(i, last_resort=True), 0.0)
@@ -234,9 +234,9 @@
 
 class TestTickCost:
     @pytest.mark.parametrize("waiting", [10, 1_000], ids=["few", "many"])
-    def test_steps_of_a_tick_do_not_grow_with_what_waits_or_is_known(self, waiting):
-        # A tick that scanned the queue or the chats would take the sidecar's whole core at the
-        # target. Counted are the calls of Python functions, the same on every machine.
+    def test_cost_of_a_tick_does_not_grow_with_waiting_requests_or_known_chats(self, waiting):
+        # A tick that scanned the queue or the chats would use the sidecar's whole CPU core at the
+        # target load. The test counts Python function calls, which are the same on every machine.
         system = admission(max_running=1, max_waiting=2_000, max_waiting_per_account=2_000)
         for chat in range(waiting):
             system.pointers.placed(chat, "e0", 10, 0.0)
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -23,110 +23,112 @@
 
 
 class TestRestartedSidecar:
-    def test_is_asked_once_more_under_its_new_stamp_without_the_budget(self):
-        # A service's one sidecar was replaced. The entry's next request names the earlier start
-        # and is not run; the answer brings the new stamp, and under it the request runs.
-        walk = AttemptSystem(ROWS[:1], RetryBudget(0.0, 0.0), idempotent=True)
-        walk.first()
+    def test_is_tried_once_more_with_its_new_stamp_without_the_budget(self):
+        # The only sidecar of a service was replaced. The entry's next request has a stamp of the
+        # earlier incarnation and is refused; the refusal has the new stamp, with which it runs.
+        system = AttemptSystem(ROWS[:1], RetryBudget(0.0, 0.0), idempotent=True)
+        system.first()
         stale = refusal(RefusalCode.STALE_STAMP, Ran.UNKNOWN)
 
-        again = walk.after(stale, ROWS[0])
+        again = system.after(stale, ROWS[0])
 
         assert again.endpoint == ROWS[0]
         assert again.last_resort
-        assert walk.after(stale, ROWS[0]) == GiveUp(stale)
+        assert system.after(stale, ROWS[0]) == GiveUp(stale)
 
 
 class TestSpill:
-    def test_ends_at_the_least_loaded_of_a_few_and_may_wait_there(self):
-        walk = attempts()
-        walk.first()
+    def test_ends_at_the_least_loaded_of_the_tried_endpoints_which_may_queue(self):
+        system = attempts()
+        system.first()
 
-        steps = [walk.after(overloaded(i, 20 - i), ROWS[i]) for i in range(4)]
+        steps = [system.after(overloaded(i, 20 - i), ROWS[i]) for i in range(4)]
 
         assert [step.endpoint.endpoint_id for step in steps] == ["e1", "e2", "e3", "e3"]
         assert steps[-1].last_resort
         assert len(steps[-1].loads) == 4
 
     def test_slow_endpoint_with_few_requests_is_not_the_least_loaded(self):
-        walk = attempts(2)
-        walk.first()
-        walk.after(overloaded(0, 10, speed=2.0), ROWS[0])
+        system = attempts(2)
+        system.first()
+        system.after(overloaded(0, 10, speed=2.0), ROWS[0])
 
-        step = walk.after(overloaded(1, 30, speed=10.0), ROWS[1])
+        step = system.after(overloaded(1, 30, speed=10.0), ROWS[1])
 
         assert step.endpoint.endpoint_id == "e1"
 
     def test_ends_when_the_last_resort_refuses_too(self):
-        # Every endpoint loads a model and refuses whatever comes. Asked again and again, the last
-        # resort would keep the entry in an endless walk.
-        walk = attempts(2)
-        walk.first()
+        # Every endpoint is loading a model and refuses all requests. If the last resort were tried
+        # again after its refusal, the entry would loop forever.
+        system = attempts(2)
+        system.first()
 
-        steps = [walk.after(overloaded(i % 2, 5), ROWS[i % 2]) for i in range(3)]
+        steps = [system.after(overloaded(i % 2, 5), ROWS[i % 2]) for i in range(3)]
 
         assert [type(step) for step in steps] == [Try, Try, GiveUp]
 
-    def test_ends_where_it_may_wait_though_the_last_candidate_is_gone(self):
-        # An availability zone is lost, and the endpoints that are left are at their bound. The walk
-        # goes on to one that is gone; the caller must not be told of that failure while a live one
-        # would let the request wait. No retry is paid for: the budget is empty by then.
-        walk = attempts(3, share=0.0)
-        walk.first()
-        walk.after(overloaded(0, 9), ROWS[0])
-        walk.after(overloaded(1, 5), ROWS[1])
+    def test_returns_to_an_endpoint_with_a_queue_if_the_last_candidate_is_gone(self):
+        # An availability zone is lost, and the remaining endpoints are at their bound. The last try
+        # fails at a lost endpoint. The caller must not get this failure while a live endpoint would
+        # queue the request. The retry budget is empty by then, so none is charged.
+        system = attempts(3, share=0.0)
+        system.first()
+        system.after(overloaded(0, 9), ROWS[0])
+        system.after(overloaded(1, 5), ROWS[1])
 
-        step = walk.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[2])
+        step = system.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[2])
 
-        assert (step.endpoint.endpoint_id, step.last_resort, walk.retries) == ("e1", True, 0)
-        assert isinstance(walk.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[1]), GiveUp)
+        assert (step.endpoint.endpoint_id, step.last_resort, system.retries) == ("e1", True, 0)
+        assert isinstance(system.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[1]), GiveUp)
 
-    def test_does_not_walk_into_a_suspect_while_a_live_one_would_let_the_request_wait(self):
-        # An availability zone is cut off without a word. Each try there would take a connection's
-        # timeout, in front of live endpoints that have a place in their queue.
+    def test_does_not_try_a_suspect_while_a_live_endpoint_may_queue_the_request(self):
+        # An availability zone is unreachable. Each try there would take a connect timeout, while
+        # live endpoints have space in their queue.
         suspect = attrs.evolve(ROWS[2], state=EndpointState.SUSPECT)
-        walk = AttemptSystem([*ROWS[:2], suspect], RetryBudget(0.1, 2.0), True)
-        walk.first()
-        walk.after(overloaded(0, 9), ROWS[0])
+        system = AttemptSystem([*ROWS[:2], suspect], RetryBudget(0.1, 2.0), True)
+        system.first()
+        system.after(overloaded(0, 9), ROWS[0])
 
-        step = walk.after(overloaded(1, 5), ROWS[1])
+        step = system.after(overloaded(1, 5), ROWS[1])
 
         assert (step.endpoint.endpoint_id, step.last_resort) == ("e1", True)
 
     def test_costs_no_retry_budget(self):
-        walk = attempts()
-        walk.first()
-        walk.after(overloaded(0, 1), ROWS[0])
+        system = attempts()
+        system.first()
+        system.after(overloaded(0, 1), ROWS[0])
 
-        assert walk.retries == 0
+        assert system.retries == 0
 
 
 class TestLeaving:
     def test_costs_no_retry_budget_however_many_endpoints_leave(self):
-        # A rack is drained. The lists of the entries lag, so its endpoints refuse for seconds; paid
-        # for from the budget, callers would be refused while the rest of the fleet has room.
-        walk = attempts()
-        walk.first()
+        # A rack is drained, and the entries' lists lag, so its endpoints refuse requests for
+        # seconds. If these tries were charged to the budget, callers would be refused while the
+        # rest of the fleet has room.
+        system = attempts()
+        system.first()
 
-        steps = [walk.after(refusal(RefusalCode.LEAVING), row) for row in ROWS[:6]]
+        steps = [system.after(refusal(RefusalCode.LEAVING), row) for row in ROWS[:6]]
 
         assert all(isinstance(step, Try) for step in steps)
-        assert walk.retries == 0
+        assert system.retries == 0
 
 
 class TestFailover:
     def test_costs_no_retry_budget_where_a_live_candidate_is_left(self):
-        # An availability zone is lost, and with it the homes of a third of the chats. Paid for from
-        # the budget, a tenth, most of their callers would be refused beside live endpoints.
-        walk = attempts(share=0.0)
-        walk.first()
+        # An availability zone with the homes of a third of the chats is lost. If failovers were
+        # charged to the budget of a tenth, most of their callers would be refused despite live
+        # endpoints.
+        system = attempts(share=0.0)
+        system.first()
 
-        steps = [walk.after(refusal(RefusalCode.ENDPOINT_FAILED), row) for row in ROWS[:3]]
+        steps = [system.after(refusal(RefusalCode.ENDPOINT_FAILED), row) for row in ROWS[:3]]
 
         assert [step.endpoint.endpoint_id for step in steps] == ["e1", "e2", "e3"]
 
-    def test_is_paid_for_after_a_few_or_towards_a_suspect(self):
-        # Most of the service is down. Each request that walked through all of it would be a storm.
+    def test_is_charged_after_three_failures_or_for_a_suspect(self):
+        # Most of the service is down. Requests that try all endpoints would be a retry storm.
         suspects = [attrs.evolve(row, state=EndpointState.SUSPECT) for row in ROWS]
         long, short = (
             AttemptSystem(rows, RetryBudget(0.0, 0.0), True) for rows in (ROWS, suspects)
@@ -140,21 +142,21 @@
         assert [type(step) for step in suspect_steps] == [Try, GiveUp]
 
     def test_of_a_request_that_may_have_run_is_a_retry(self):
-        walk = AttemptSystem(ROWS, RetryBudget(0.0, 0.0), True)
-        walk.first()
+        system = AttemptSystem(ROWS, RetryBudget(0.0, 0.0), True)
+        system.first()
 
-        step = walk.after(refusal(RefusalCode.ENDPOINT_FAILED, Ran.UNKNOWN), ROWS[0])
+        step = system.after(refusal(RefusalCode.ENDPOINT_FAILED, Ran.UNKNOWN), ROWS[0])
 
         assert isinstance(step, GiveUp)
 
 
 class TestRetries:
     def test_stop_when_the_budget_is_empty(self):
-        walk = attempts()
-        walk.first()
+        system = attempts()
+        system.first()
         full = refusal(RefusalCode.QUEUE_FULL, retry_after_s=2.0)
 
-        steps = [walk.after(full, row) for row in ROWS[:3]]
+        steps = [system.after(full, row) for row in ROWS[:3]]
 
         assert [type(step) for step in steps] == [Try, Try, GiveUp]
         assert steps[-1].refusal.retry_after_s == 2.0
@@ -169,71 +171,71 @@
         assert budget.spend()
         assert not budget.spend()
 
-    def test_of_work_that_may_not_be_repeated_end_at_an_unknown_outcome(self):
-        walk = attempts(idempotent=False)
-        walk.first()
+    def test_of_non_idempotent_requests_end_at_an_unknown_outcome(self):
+        system = attempts(idempotent=False)
+        system.first()
 
-        step = walk.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        step = system.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
 
         assert isinstance(step, GiveUp)
 
     def test_refusal_after_an_unknown_try_does_not_say_not_run(self):
-        # The first endpoint breaks off in mid-answer, the second refuses and proves that it did
-        # not run the request. Passed on as it is, its "no" would be a lie about the first.
-        walk = attempts()
-        walk.first()
-        walk.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        # The first endpoint disconnects during the answer, and the second refuses without running
+        # the request. Its "not run" must not reach the caller, because the first may have run it.
+        system = attempts()
+        system.first()
+        system.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
 
-        step = walk.after(refusal(RefusalCode.DEADLINE), ROWS[1])
+        step = system.after(refusal(RefusalCode.DEADLINE), ROWS[1])
 
         assert step.refusal.ran is Ran.UNKNOWN
 
     @pytest.mark.parametrize("code", [RefusalCode.DEADLINE, RefusalCode.BAD_REQUEST])
     def test_are_not_made_when_no_endpoint_could_do_better(self, code):
-        walk = attempts()
-        walk.first()
+        system = attempts()
+        system.first()
 
-        assert isinstance(walk.after(refusal(code), ROWS[0]), GiveUp)
+        assert isinstance(system.after(refusal(code), ROWS[0]), GiveUp)
 
 
 class TestPointers:
-    def test_are_followed_and_the_home_asked_again_if_they_lead_nowhere(self):
-        walk = attempts()
-        home = walk.first().endpoint
+    def test_are_followed_and_the_home_tried_again_if_they_are_stale(self):
+        system = attempts()
+        home = system.first().endpoint
         moved = refusal(RefusalCode.CHAT_MOVED, pointer="e5")
 
-        step = walk.after(moved, home)
-        again = walk.after(refusal(RefusalCode.ENDPOINT_FAILED), step.endpoint)
+        step = system.after(moved, home)
+        again = system.after(refusal(RefusalCode.ENDPOINT_FAILED), step.endpoint)
 
         assert (step.endpoint.endpoint_id, step.warm) == ("e5", True)
         assert (again.endpoint.endpoint_id, again.ignore_pointer) == ("e0", True)
 
-    def test_to_an_endpoint_that_is_gone_lead_back_to_the_home(self):
-        walk = attempts()
-        home = walk.first().endpoint
+    def test_to_an_endpoint_that_is_gone_lead_to_another_try_at_the_home(self):
+        system = attempts()
+        home = system.first().endpoint
 
-        step = walk.after(refusal(RefusalCode.CHAT_MOVED, pointer="gone"), home)
+        step = system.after(refusal(RefusalCode.CHAT_MOVED, pointer="gone"), home)
 
         assert (step.endpoint.endpoint_id, step.ignore_pointer) == ("e0", True)
 
     def test_previous_home_is_asked_first_and_only_if_warm(self):
-        walk = attempts(previous_home=ROWS[1])
+        system = attempts(previous_home=ROWS[1])
 
-        first = walk.first()
-        step = walk.after(refusal(RefusalCode.NOT_WARM), first.endpoint)
+        first = system.first()
+        step = system.after(refusal(RefusalCode.NOT_WARM), first.endpoint)
 
         assert (first.endpoint.endpoint_id, first.only_if_warm) == ("e1", True)
         assert step.endpoint.endpoint_id == "e0"
 
-    def test_are_kept_by_the_home_and_the_next_in_order(self):
-        walk = attempts()
+    def test_are_stored_by_the_home_and_the_next_in_order(self):
+        system = attempts()
 
-        assert [row.endpoint_id for row in walk.keepers(ROWS[3])] == ["e0", "e1"]
-        assert [row.endpoint_id for row in walk.keepers(ROWS[1])] == ["e0"]
-        assert walk.keepers(ROWS[0]) == []
+        assert [row.endpoint_id for row in system.keepers(ROWS[3])] == ["e0", "e1"]
+        assert [row.endpoint_id for row in system.keepers(ROWS[1])] == ["e0"]
+        assert system.keepers(ROWS[0]) == []
 
-    def test_that_were_followed_are_not_told_again(self):
-        walk = attempts()
-        walk.after(refusal(RefusalCode.CHAT_MOVED, pointer="e5"), walk.first().endpoint)
+    def test_that_were_followed_are_not_sent_again(self):
+        system = attempts()
+        system.after(refusal(RefusalCode.CHAT_MOVED, pointer="e5"), system.first().endpoint)
 
-        assert walk.keepers(ROWS[5]) == []
+        assert system.keepers(ROWS[5]) == []
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -43,7 +43,7 @@
         assert one.tick(0.1) == [("r1", KeyLost("t2"))]
         assert two.tick(0.1) == [("r2", KeyWon("t2"))]
 
-    def test_known_key_is_settled_at_once_even_while_the_log_is_down(self):
+    def test_known_key_gets_its_verdict_at_once_even_while_the_log_is_down(self):
         system = claims()
         system.apply(0, record(claim("t1")), 0.0)
         system.log_failed(1.0)
@@ -52,10 +52,10 @@
         assert system.submit("r2", claim("t3", body="other"), 1.0) == KeyMismatch()
 
     def test_new_key_is_refused_at_once_while_the_log_is_down(self):
-        # An earlier try under the key may have run through another entry, and only the log could
-        # tell. So the refusal says "unknown": a "no" could send the caller off to ask again
-        # under a new key. Of this try alone it says "no", which is true and lets a caller that has
-        # never sent the key before go on at once.
+        # An earlier try with the key may have run through another entry, and only the log could
+        # tell. So the refusal says "unknown", because after a "no" the caller might retry under a
+        # new key. For this try alone it says "no", which is true and lets a caller that has never
+        # sent the key before continue at once.
         system = claims()
         system.log_failed(1.0)
 
@@ -64,9 +64,9 @@
         assert verdict == KeyUnavailable(0.5)
         assert (key_refusal(verdict).ran, key_refusal(verdict).try_ran) == (Ran.UNKNOWN, Ran.NO)
 
-    def test_lost_append_answer_is_settled_by_reading(self):
-        # The append takes effect and its answer is lost. The batch is appended again, and the
-        # reader meets both copies.
+    def test_lost_append_answer_is_resolved_by_reading(self):
+        # The append takes effect but its answer is lost. The batch is appended again, and the
+        # reader gets both copies.
         system = claims()
         system.submit("r1", claim("t1"), 0.0)
         first = system.next_batch(0.0)
@@ -79,7 +79,7 @@
         assert again.claims == first.claims
         assert system.tick(1.3) == [("r1", KeyWon("t1"))]
 
-    def test_verdict_is_given_up_on_in_time_and_not_appended_later(self):
+    def test_claim_times_out_and_is_not_appended_later(self):
         system = claims()
         system.submit("r1", claim("t1"), 0.0)
         batch = system.next_batch(0.0)
@@ -102,9 +102,9 @@
 
         assert [len(first.claims), len(second.claims)] == [2, 1]
 
-    def test_key_ends_with_its_life_and_the_next_claim_takes_over(self):
+    def test_key_expires_and_the_next_claim_takes_over(self):
         # Reader one has known the key's first claim for its whole life; reader two started late
-        # and holds it longer. A second claim is in the log behind it. Both must agree on that one.
+        # and keeps it longer. A second claim follows in the log. Both must agree on the second one.
         one, two = claims(), claims()
         one.apply(0, record(claim("t1")), 0.0)
         two.apply(0, record(claim("t1")), 50.0)
@@ -119,10 +119,10 @@
 
     @pytest.mark.parametrize("retention_s", [600.0, 1200.0, 86_400.0])
     def test_key_does_not_outlive_the_records_of_the_log(self, retention_s):
-        # The log drops the claim of a fee confirmation that ran. Its home is replaced; the new one
-        # finds nothing in the log, takes the key for new and leads a retry to a second ticket. An
-        # older reader that still knew the key would lead its retry to the first: two runs that
-        # both hold for the key. So by then no reader may know it any more.
+        # The log drops the claim of a request that ran, and the key's home is replaced. The new
+        # home finds no claim, treats the key as new and gives a retry a second ticket. A reader
+        # that still knew the key would give its retry the first ticket, and both requests would
+        # count as the key's. So by then no reader may still know the key.
         limits = ClaimLimits.within(retention_s)
         older, newer = ClaimSystem("a", limits), ClaimSystem("b", limits)
         older.apply(0, record(claim("t1")), 0.0)
@@ -134,8 +134,8 @@
         older.tick(retention_s)
         assert older.submit("r2", claim("t9"), retention_s) is None
 
-    def test_full_table_takes_no_key_for_new(self):
-        # A key that the full table could not remember would look new to the next caller and its
+    def test_full_table_treats_no_key_as_new(self):
+        # A key that the full table could not store would look new to the next caller, and its
         # request would run twice.
         system = claims()
         for i in range(4):
@@ -151,14 +151,14 @@
         [None, 7, {}, {"claims": 3}, {"claims": [["k"]]}, {"claims": [[1, 2, 3]]}],
         ids=["none", "number", "empty", "no-list", "short-row", "wrong-types"],
     )
-    def test_record_that_can_not_be_read_claims_nothing(self, poison):
+    def test_malformed_record_claims_nothing(self, poison):
         system = claims()
 
         system.apply(0, poison, 0.0)
 
         assert (len(system), system.next_offset) == (0, 1)
 
-    def test_record_that_was_applied_is_not_applied_again(self):
+    def test_record_is_not_applied_twice(self):
         system = claims()
         system.apply(5, record(claim("t5")), 0.0)
 
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -58,14 +58,14 @@
             pytest.param({"least_tokens": 150}, set(), [3, 2], id="short prefix stays"),
         ],
     )
-    def test_plan_takes_what_is_likely_to_return(self, limits, busy, keys):
+    def test_plan_selects_chats_that_are_likely_to_return(self, limits, busy, keys):
         prefixes = prefixes_of((3, 300, 30.0), (1, 100, 10.0), (2, 200, 20.0))
 
         plan = list(system_of(**limits).plan(prefixes, busy, members_of(3), 30.0))
 
         assert [transfer.chat_key for transfer in plan] == keys
 
-    def test_successor_is_whom_entries_ask_when_this_endpoint_is_gone(self):
+    def test_successor_is_the_endpoint_that_entries_try_after_this_one_left(self):
         members = members_of(4)
         members.put(Endpoint("drafter-3", "drafter", "ahd-a", "", state=EndpointState.LEAVING))
         prefixes = prefixes_of(*((key, 900, 0.0) for key in range(50)))
@@ -100,7 +100,7 @@
 
         assert system.may_go(plan[-1]) is may_go
 
-    def test_no_prefix_is_handed_on_twice_until_the_endpoint_works_again(self):
+    def test_no_prefix_is_transferred_twice_until_the_endpoint_serves_again(self):
         system = system_of()
         prefixes = prefixes_of((1, 900, 0.0))
         (transfer,) = system.plan(prefixes, set(), members_of(2), 0.0)
@@ -114,12 +114,12 @@
 
 @attrs.define(eq=False)
 class FaultyEngine:
-    """A stand-in engine whose export or import breaks off, or never answers."""
+    """A stand-in engine whose export or import disconnects, hangs or gives an invalid answer."""
 
     inner: EngineStandIn
     breaks: str = ""
     hangs: str = ""
-    nonsense: bytes = b""
+    invalid_answer: bytes = b""
     calls: list = attrs.field(factory=list)
 
     async def __call__(self, scope, receive, send):
@@ -127,8 +127,8 @@
         self.calls.append(path)
         if path == self.hangs:
             await anyio.sleep_forever()
-        if self.nonsense and path in (EXPORT, IMPORT):
-            await respond(send, 200, self.nonsense)
+        if self.invalid_answer and path in (EXPORT, IMPORT):
+            await respond(send, 200, self.invalid_answer)
             return
         if path == self.breaks:
             head = [(b"content-length", b"100")]
@@ -139,7 +139,7 @@
 
 
 class Fleet:
-    """Three endpoints; the first has the prefix of one chat cached and is to leave."""
+    """Three endpoints; the first has the prefix of one chat cached and will leave."""
 
     def __init__(self, path):
         self.path = path
@@ -156,14 +156,14 @@
         self.leaving = self.path.sidecars[0]
         self.engines[0].inner.model.store("c", TOKENS)
         self.leaving.keeper.prefixes.put(Prefix(self.key, "c", TOKENS, time.monotonic()))
-        self.heir = self.heir_of(self.key)
+        self.successor_number = self.successor_number_of(self.key)
         return self
 
-    def heir_of(self, key):
-        """Return the number of the endpoint that is asked next for a chat."""
+    def successor_number_of(self, key):
+        """Return the number of the endpoint that is tried next for a chat."""
         placement = PlacementSystem(self.path.endpoints)
-        heir = successor_of(placement, PlacementQuery("drafter", key), "drafter-0", 0.0)
-        return int(heir.endpoint_id[-1])
+        successor = successor_of(placement, PlacementQuery("drafter", key), "drafter-0", 0.0)
+        return int(successor.endpoint_id[-1])
 
     async def stop(self, times=1):
         stop = GracefulStop(self.leaving, settle_s=0.0)
@@ -173,12 +173,12 @@
         self.path.endpoints.remove("drafter-0")
 
     def pointers(self):
-        """Return where the others say that the chat lies."""
+        """Return the endpoints that the other sidecars' pointers for the chat name."""
         rows = [app.admission.pointers.chats.peek(self.key) for app in self.path.sidecars[1:]]
         return [row.endpoint_id for row in rows if row is not None]
 
     async def ask(self):
-        """Come back to the chat through an entry; return the cached tokens and the last event."""
+        """Continue the chat through an entry; return the cached tokens and the last event."""
         entry = await self.path.entry()
         body = chat(prompt_cache_key="c", max_tokens=3, pad="x" * 4000)
         url = entry + "/v1/chat/completions"
@@ -194,12 +194,12 @@
 
             await fleet.stop()
 
-            assert fleet.pointers() == [f"drafter-{fleet.heir}"]
+            assert fleet.pointers() == [f"drafter-{fleet.successor_number}"]
             assert await fleet.ask() == (TOKENS, b"[DONE]")
 
-    async def test_chat_is_no_younger_where_it_was_handed_to(self):
-        # Endpoints are replaced one after the other. A chat that nobody comes back to must not
-        # look new at each of them, or it is handed on for ever and takes the place of live ones.
+    async def test_time_of_last_use_is_kept_in_a_transfer(self):
+        # Endpoints are replaced one after the other. An abandoned chat must not look recently used
+        # at each of them, or it is transferred forever and displaces active ones.
         async with path_of() as path:
             fleet = await Fleet(path).start()
             used_s = time.monotonic() - 500.0
@@ -207,23 +207,23 @@
 
             await fleet.stop()
 
-            (row,) = path.sidecars[fleet.heir].keeper.prefixes.newest_first()
+            (row,) = path.sidecars[fleet.successor_number].keeper.prefixes.newest_first()
             assert row.used_s < used_s + 250.0
 
-    async def test_spilled_chat_is_handed_to_its_home_which_pointed_here(self):
+    async def test_spilled_chat_is_transferred_to_its_home_that_has_a_pointer_here(self):
         async with path_of() as path:
             fleet = await Fleet(path).start()
-            home = path.sidecars[fleet.heir].admission.pointers
+            home = path.sidecars[fleet.successor_number].admission.pointers
             home.placed(fleet.key, "drafter-0", TOKENS, time.monotonic())
 
             await fleet.stop()
 
-            assert fleet.pointers() == [f"drafter-{fleet.heir}"]
+            assert fleet.pointers() == [f"drafter-{fleet.successor_number}"]
             assert await fleet.ask() == (TOKENS, b"[DONE]")
 
-    async def test_answer_in_flight_goes_first(self):
-        # The chat's own answer runs while its endpoint is drained. Its prefix stays until the
-        # answer is whole, and is handed on then, before the process ends.
+    async def test_prefix_of_an_answer_in_flight_is_transferred_after_its_end(self):
+        # An answer of the chat is in flight while its endpoint is drained. Its prefix must be
+        # transferred after the answer is complete and before the process ends.
         async with path_of() as path:
             fleet = await Fleet(path).start()
             engine = fleet.engines[0]
@@ -244,7 +244,7 @@
             await fleet.leaving.hand_over()
 
         assert (early, answers[0].status) == (False, 200)
-        assert fleet.pointers() == [f"drafter-{fleet.heir}"]
+        assert fleet.pointers() == [f"drafter-{fleet.successor_number}"]
 
     @pytest.mark.parametrize(
         "fault",
@@ -256,12 +256,12 @@
         ],
     )
     async def test_failed_transfer_costs_a_cold_prefill_and_no_answer(self, fault):
-        # The endpoint leaves and its chat's prefix is on the way when one of the two engines
-        # breaks off or goes silent. The stop ends all the same; nobody points to a prefix that is
-        # not there, so the chat comes back to its next home, starts cold and gets its whole answer.
+        # During a transfer, one of the two engines disconnects or hangs. The stop must still end,
+        # and no pointer may name a prefix that is not there, so that the chat starts cold at its
+        # next home and gets its whole answer.
         async with path_of(view_with(handover_s=0.3)) as path:
             fleet = await Fleet(path).start()
-            place = 0 if fault.pop("at") == 0 else fleet.heir
+            place = 0 if fault.pop("at") == 0 else fleet.successor_number
             for name, kv_path in fault.items():
                 setattr(fleet.engines[place], name, kv_path)
 
@@ -276,53 +276,58 @@
         [b"\xff", b"[" * 60_000, b'{"tokens": Infinity}', b'{"tokens": -1}', b"x" * 70_000],
         ids=["not text", "too deep", "no number", "negative", "too long"],
     )
-    async def test_engine_that_answers_nonsense_does_not_end_the_sidecar(self, at, answer):
+    async def test_engine_with_invalid_answers_does_not_end_the_sidecar(self, at, answer):
         async with path_of() as path:
             fleet = await Fleet(path).start()
-            fleet.engines[0 if at == "leaving" else fleet.heir].nonsense = answer
+            fleet.engines[0 if at == "leaving" else fleet.successor_number].invalid_answer = answer
 
             await fleet.stop()
 
             assert fleet.pointers() == []
             assert await fleet.ask() == (0, b"[DONE]")
 
-    async def test_successor_that_refuses_is_left_alone(self):
-        # The successor was drained a moment ago and the list does not show it yet. It refuses the
-        # prefix unread; the stop goes on, and the chat starts cold at the endpoint that is left.
-        # What more there would be for that successor is not even exported.
+    async def test_successor_that_refuses_gets_no_more_transfers(self):
+        # The successor is draining but still in the list, and refuses the prefix without reading
+        # it. The stop must continue, and the chat starts cold at the remaining endpoint. Further
+        # prefixes for that successor must not even be exported.
         async with path_of() as path:
             fleet = await Fleet(path).start()
-            path.sidecars[fleet.heir].admission.leaving = True
+            path.sidecars[fleet.successor_number].admission.leaving = True
             fleet.leaving.refuse_new()
             await fleet.leaving.handover.finish()
             exports = fleet.engines[0].calls.count(EXPORT)
-            for key in (key for key in range(20) if fleet.heir_of(key) == fleet.heir):
+            for key in (
+                key for key in range(20) if fleet.successor_number_of(key) == fleet.successor_number
+            ):
                 more = Prefix(key, "c", TOKENS, time.monotonic())
                 fleet.leaving.keeper.prefixes.put(more)
 
             await fleet.stop()
 
             assert exports == fleet.engines[0].calls.count(EXPORT) == 1
-            assert (fleet.pointers(), IMPORT in fleet.engines[fleet.heir].calls) == ([], False)
+            assert (fleet.pointers(), IMPORT in fleet.engines[fleet.successor_number].calls) == (
+                [],
+                False,
+            )
             assert await fleet.ask() == (0, b"[DONE]")
 
-    async def test_successor_that_dies_after_the_import_takes_its_pointer_with_it(self):
-        # The successor has the prefix and then its host dies. Only its own sidecar knew, so no
-        # other one sends the chat after it: the entry finds the connection refused, goes on to the
-        # endpoint that is left, and the caller gets a whole answer from a cold start.
+    async def test_pointer_is_lost_with_a_successor_that_dies_after_the_import(self):
+        # The successor has the prefix, and then its host dies. Only its own sidecar had the
+        # pointer, so no other sidecar refers the chat to it: the entry's connection is refused, it
+        # tries the remaining endpoint, and the caller gets a whole answer from a cold start.
         async with path_of() as path:
             fleet = await Fleet(path).start()
             await fleet.stop()
             taken = fleet.pointers()
 
-            path.endpoints.get(f"drafter-{fleet.heir}").address = "127.0.0.1:1"
+            path.endpoints.get(f"drafter-{fleet.successor_number}").address = "127.0.0.1:1"
             answer = await fleet.ask()
 
-        assert (taken, answer) == ([f"drafter-{fleet.heir}"], (0, b"[DONE]"))
+        assert (taken, answer) == ([f"drafter-{fleet.successor_number}"], (0, b"[DONE]"))
 
-    async def test_stop_during_a_transfer_does_not_wait_for_it_longer_than_it_may(self):
-        # A drain has begun a transfer that hangs when the process is told to stop, twice. The stop
-        # waits as long as the settings allow and ends; the prefix was asked for once.
+    async def test_stop_during_a_transfer_waits_no_longer_than_the_settings_allow(self):
+        # A transfer hangs during a drain when the process is told to stop, twice. The stop must
+        # wait only as long as the settings allow, and the prefix must be exported once.
         async with path_of(view_with(handover_s=0.3, kv_token_bytes=1)) as path:
             fleet = await Fleet(path).start()
             overlong = Prefix(fleet.key, "c", 10_000_000, time.monotonic())
@@ -337,24 +342,24 @@
             assert fleet.pointers() == []
 
     async def test_chat_that_moved_on_during_the_import_keeps_its_newer_pointer(self):
-        # While its prefix is being imported the chat comes back, spills from the successor to a
-        # third endpoint and grows there. The older prefix must not take the pointer back.
+        # During the import of its prefix the chat returns, spills from the successor to a third
+        # endpoint and grows there. The older prefix must not replace the newer pointer.
         async with path_of() as path:
             fleet = await Fleet(path).start()
-            heir = path.sidecars[fleet.heir]
-            third = f"drafter-{3 - fleet.heir}"
-            kv_take = heir.keeper.kv.take
+            successor = path.sidecars[fleet.successor_number]
+            third = f"drafter-{3 - fleet.successor_number}"
+            kv_take = successor.keeper.kv.take
 
-            async def spill_meanwhile(description):
-                heir.admission.pointers.placed(fleet.key, third, 2 * TOKENS, time.monotonic())
+            async def take_after_spill(description):
+                successor.admission.pointers.placed(fleet.key, third, 2 * TOKENS, time.monotonic())
                 return await kv_take(description)
 
-            heir.keeper.kv.take = spill_meanwhile
+            successor.keeper.kv.take = take_after_spill
             await fleet.stop()
 
             assert fleet.pointers() == [third]
 
-    async def test_nothing_is_handed_on_when_the_settings_allow_no_time(self):
+    async def test_nothing_is_transferred_when_the_settings_allow_no_time(self):
         async with path_of(view_with(handover_s=0.0)) as path:
             fleet = await Fleet(path).start()
 
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -6,7 +6,7 @@
 from beryljunction.loads import LoadRow
 from beryljunction.systems import LoadLimits, LoadSystem, SpeedMeter
 
-# Cold requests from the mean on, so that tests read the mean off the bound for cold requests.
+# With a cold multiple of 1, tests can read the mean from the bound for cold requests.
 LIMITS = LoadLimits(cold_multiple=1.0, floor_running=4, max_running=128)
 
 
@@ -37,8 +37,8 @@
         assert mean < load.bound(1.0).running <= 1.25 * mean
 
     def test_mean_does_not_collapse_while_requests_wait(self):
-        # Every endpoint runs little and has much waiting. If only running work counted, the bound
-        # would fall with it and the fleet would stand still with full queues.
+        # Every endpoint runs few requests and has many waiting. If only running requests counted,
+        # the bound would fall with them until nothing runs despite full queues.
         load = load_system(*(row(i, 4, waiting=60) for i in range(1, 5)), running=4)
 
         assert load.bound(1.0).running > 50
@@ -55,14 +55,14 @@
 
         assert load.bound(2.0).running < 0.3 * 50
 
-    def test_slow_peer_does_not_pull_the_others_down(self):
+    def test_slow_peer_does_not_lower_the_bound_of_the_others(self):
         peers = [row(i, 40, speed_tokens_per_s=40.0) for i in range(1, 4)]
         slow = row(4, 10, speed_tokens_per_s=10.0)
         load = load_system(*peers, slow, running=40)
 
         assert load.bound(1.0).cold_running >= 40
 
-    def test_endpoint_that_came_back_counts_as_a_growing_part(self):
+    def test_endpoint_that_came_back_counts_as_a_growing_fraction(self):
         load = load_system(*(row(i, 40) for i in range(1, 4)), running=40, now_s=60.0)
         load.merge([row(i, 40, sequence=2) for i in range(1, 4)], 60.0)
         load.merge([row(4, 0)], 60.0)
@@ -103,7 +103,7 @@
 
 
 class TestSpeedMeter:
-    def test_gives_the_tokens_of_one_request(self):
+    def test_returns_the_speed_of_one_request(self):
         meter = SpeedMeter()
         for tick in range(100):
             meter.advance(10, tick * 0.1)
@@ -111,7 +111,7 @@
 
         assert meter.tokens_per_s == pytest.approx(30.0, rel=0.1)
 
-    def test_tells_nothing_before_something_ran(self):
+    def test_speed_is_zero_before_a_request_ran(self):
         meter = SpeedMeter()
         meter.advance(0, 0.0)
         meter.advance(0, 10.0)
@@ -120,10 +120,10 @@
 
 
 class TestSilence:
-    def test_bound_follows_the_load_of_those_that_are_left(self):
-        # An availability zone is lost and its chats come to the others. By the last rows of the
-        # lost the mean would stay what it was, and returning chats would be refused beside idle
-        # places until the rows are stale.
+    def test_bound_follows_the_load_of_the_remaining_endpoints(self):
+        # An availability zone is lost and its chats move to the others. The last rows of the lost
+        # endpoints would keep the old mean, and returning chats would be refused despite free slots
+        # until the rows are stale.
         load = load_system(*(row(i, 40) for i in range(1, 3)), row(3, 80), running=80)
         before = load.bound(1.0).running
 
@@ -132,7 +132,7 @@
 
         assert load.bound(1.0).running > 1.25 * before
 
-    def test_holds_whatever_copy_others_pass_on_and_ends_with_news(self):
+    def test_lasts_despite_old_copies_until_a_newer_row(self):
         load = load_system(row(1, 40, sequence=5))
         load.silence("drafter-1")
 
@@ -144,8 +144,8 @@
         assert load.peer("drafter-1").row.running == 41
 
     def test_late_copy_from_before_a_restart_does_not_undo_it(self):
-        # An endpoint restarts. A peer that has not heard of it passes on its last row of before;
-        # taken for news, it would end the ramp of the new start and begin another one.
+        # An endpoint restarts, and a peer that does not know it yet passes on a row of the old
+        # incarnation. If it were accepted, the ramp of the new incarnation would start again.
         load = load_system(row(1, 40, sequence=900))
         load.merge([attrs.evolve(row(1, 2), incarnation="b")], 5.0)
 
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -18,9 +18,9 @@
 
 
 class TestList:
-    def test_endpoint_missing_for_seconds_stays_while_it_answers(self):
-        # Two entries' lists differ for five seconds. Dropping the endpoint at once would send its
-        # chats to others, where nothing is cached, and back again.
+    def test_endpoint_missing_for_seconds_stays_live_while_it_answers(self):
+        # The lists of two entries differ for five seconds. Dropping the endpoint at once would move
+        # its chats to others, where nothing is cached, and back again.
         system = membership()
         for second in range(1, 6):
             system.note_answer("e0", second, "a")
@@ -29,7 +29,7 @@
             assert system.tick(second) == []
             assert state(system) is EndpointState.LIVE
 
-    def test_endpoint_missing_without_a_sign_of_life_goes_last_and_is_dropped(self):
+    def test_endpoint_missing_without_answers_is_suspect_and_then_dropped(self):
         system = membership()
         system.apply_list(LISTED[1:], 4.0)
 
@@ -37,16 +37,16 @@
         assert system.tick(10.0) == ["e0"]
         assert system.endpoints.get("e0") is None
 
-    def test_new_endpoint_is_known_as_one_that_joined(self):
+    def test_new_endpoint_has_a_join_time(self):
         system = membership()
         system.apply_list([*LISTED, attrs.evolve(LISTED[0], endpoint_id="e9")], 7.0)
 
         assert system.endpoints.get("e9").joined_s == 7.0
         assert system.endpoints.get("e0").joined_s < 0.0
 
-    def test_replaced_endpoints_are_forgotten_in_time(self):
-        # Hosts are replaced all day, each under a new id. The entry runs for months; what it has
-        # seen of each would fill its memory.
+    def test_evidence_of_replaced_endpoints_is_removed(self):
+        # Hosts are replaced all day, each under a new id. An entry that runs for months would fill
+        # its memory with evidence about them.
         system = membership()
         for day_s in range(0, 10_000, 100):
             row = attrs.evolve(LISTED[0], endpoint_id=f"host-{day_s}")
@@ -56,9 +56,9 @@
 
         assert system.remembered <= len(LISTED) + 2
 
-    def test_flapping_endpoint_is_remembered_through_its_drop(self):
-        # The list drops an endpoint that flaps and has it back within the minute. Its record must
-        # not be clean by then, or each round breaks answers again.
+    def test_failures_of_a_flapping_endpoint_survive_its_drop(self):
+        # A flapping endpoint leaves the list and returns within a minute. Its failures must still
+        # count, or each return breaks answers again.
         system = membership()
         for at_s in (0.0, 3.0, 6.0):
             system.note_failure("e0", at_s)
@@ -75,7 +75,7 @@
 
 class TestLeaving:
     @pytest.mark.parametrize("said_by", ["list", "sidecar"])
-    def test_holds_whatever_answers_come_later(self, said_by):
+    def test_lasts_despite_later_answers(self, said_by):
         system = membership()
         if said_by == "list":
             system.apply_list([attrs.evolve(LISTED[0], leaving=True), *LISTED[1:]], 1.0)
@@ -98,7 +98,7 @@
 
 
 class TestFailures:
-    def test_one_failure_keeps_new_work_away_for_seconds(self):
+    def test_one_failure_makes_an_endpoint_suspect_for_seconds(self):
         system = membership()
         system.note_failure("e0", 1.0)
 
@@ -113,9 +113,9 @@
 
         assert state(system) is EndpointState.LIVE
 
-    def test_flapping_endpoint_stays_last_though_it_answers(self):
-        # An endpoint comes and goes every three seconds. Each return takes its chats back, each
-        # loss breaks their answers.
+    def test_flapping_endpoint_stays_suspect_although_it_answers(self):
+        # An endpoint fails and returns every three seconds. Each return would move its chats back,
+        # and each failure would break their answers.
         system = membership()
         for at_s in (0.0, 3.0, 6.0):
             system.note_failure("e0", at_s)
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -86,7 +86,7 @@
 
 
 class Rollout:
-    """Engines of one service and their sidecars in virtual time, a step a second each."""
+    """Engines of one service and their sidecars in virtual time, one step per second each."""
 
     def __init__(self, count=5, store=None, checks_fence=True, seed=0, has_log=False):
         self.now_s = 0.0
@@ -122,7 +122,7 @@
                 self.least_serving = min(self.least_serving, self.serving())
 
     def serving(self):
-        """Count engines that callers can use: any version, open, not loading."""
+        """Return the number of engines that serve callers: any version, open, not loading."""
         return sum(
             gate.is_open and "drafter" in self.engines[i].model.models
             for i, gate in self.gates.items()
@@ -151,10 +151,10 @@
         ],
         ids=["done", "newer-fence", "loading", "loading-old", "extra", "missing", "role"],
     )
-    def test_each_difference_has_its_step(self, state, expected):
+    def test_step_depends_on_the_difference(self, state, expected):
         assert isinstance(OrderSystem(random.Random(0)).decide(V2, state, 0.0), expected)
 
-    def test_a_failed_load_is_ordered_again_ever_later(self):
+    def test_failed_load_is_retried_with_backoff(self):
         system = OrderSystem(random.Random(0))
         failed = EngineState({}, failed="no such version")
         tries = []
@@ -170,7 +170,7 @@
 
 class TestRollout:
     @pytest.mark.parametrize("seed", range(5))
-    def test_capacity_is_kept_and_the_store_not_overrun(self, seed):
+    def test_min_serving_and_the_limit_of_the_store_hold(self, seed):
         rollout = Rollout(seed=seed, store=WeightStoreModel(parallel_loads=2))
         rollout.view = view(2, "v2", min_serving=3, parallel_loads=2)
 
@@ -201,7 +201,7 @@
         assert sum(engine.model.orders for engine in rollout.engines.values()) == 2
         assert rollout.least_serving >= 3
 
-    def test_undo_in_mid_roll_out_brings_all_back_while_capacity_is_kept(self):
+    def test_rollback_during_a_rollout_keeps_min_serving(self):
         rollout = Rollout()
         rollout.view = view(2, "v2", min_serving=3)
         rollout.run(20)
@@ -212,7 +212,7 @@
         assert rollout.versions() == ["v1"] * 5
         assert rollout.least_serving >= 3
 
-    def test_a_version_that_cannot_be_loaded_takes_one_endpoint_only(self):
+    def test_version_that_cannot_be_loaded_stops_one_endpoint_only(self):
         rollout = Rollout()
         rollout.store.parallel_loads = 0
         rollout.view = view(2, "v2", parallel_loads=1)
@@ -221,9 +221,9 @@
 
         assert rollout.serving() == 4
 
-    def test_endpoints_that_list_each_other_one_way_only_still_pace_themselves(self):
-        # Host lists differ for seconds: one endpoint lists all others, none of them lists it.
-        # They must not load at once with it, or the service falls below its minimum.
+    def test_endpoints_with_one_sided_lists_load_one_at_a_time(self):
+        # Host lists differ for seconds: one endpoint lists all others, but none of them lists it.
+        # They must not load at the same time as it, or the service falls below min_serving.
         rollout = Rollout(count=3)
         for endpoint_id, peers in rollout.peers.items():
             peers.hidden = {"drafter-1"} if endpoint_id != "drafter-1" else set()
@@ -234,7 +234,7 @@
         assert rollout.versions() == ["v2"] * 3
         assert rollout.store.peak == 1
 
-    def test_endpoints_that_miss_each_other_for_seconds_wait_until_they_meet(self):
+    def test_endpoints_unlisted_for_seconds_load_one_at_a_time(self):
         rollout = Rollout(count=3)
         for endpoint_id, peers in rollout.peers.items():
             peers.hidden = set(rollout.peers) - {endpoint_id}
@@ -262,7 +262,7 @@
         assert waited == ["v1"] * 3
         assert rollout.versions() == ["v2", "v2", "v1"]
 
-    def test_an_endpoint_that_leaves_in_mid_load_orders_nothing_more(self):
+    def test_endpoint_that_leaves_during_a_load_sends_no_more_orders(self):
         rollout = Rollout(count=3)
         rollout.view = view(2, "v2", min_serving=1, parallel_loads=1)
         rollout.run(10)
@@ -277,12 +277,12 @@
 
 
 class TestTurns:
-    """Roll-outs whose turns the log puts in order."""
+    """Rollouts with turns in the order of the log."""
 
     @pytest.mark.parametrize("seed", range(5))
     def test_endpoints_that_never_list_each_other_still_load_one_at_a_time(self, seed):
-        # Host lists lack half of the service for minutes, each node's another half. Endpoints that
-        # miss each other must not stop together: callers would find fewer than min_serving.
+        # For minutes each node's host list lacks a different half of the service. Endpoints that
+        # don't know each other must not stop together, or fewer than min_serving would serve.
         rollout = Rollout(count=6, seed=seed, has_log=True)
         for i, peers in enumerate(rollout.peers.values()):
             peers.hidden = {f"drafter-{j}" for j in range(6) if (i + j) % 2}
@@ -295,7 +295,7 @@
         assert rollout.least_serving >= 5
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_the_floor_holds_with_room_for_all_at_the_store(self, seed):
+    def test_min_serving_holds_if_the_store_allows_all_loads_at_once(self, seed):
         rollout = Rollout(seed=seed, has_log=True)
         rollout.view = view(2, "v2", min_serving=3, parallel_loads=8)
 
@@ -317,7 +317,7 @@
         assert waited == (["v1"] * 5, 5)
         assert rollout.versions() == ["v2"] * 5
 
-    def test_an_empty_engine_loads_also_while_the_log_is_down(self):
+    def test_empty_engine_loads_even_while_the_log_is_down(self):
         rollout = Rollout(count=3, has_log=True)
         rollout.engines["drafter-1"].model.models.clear()
         rollout.log.down = True
@@ -327,8 +327,8 @@
         assert rollout.versions() == ["v1"] * 3
 
     def test_a_loader_that_is_paused_keeps_its_turn_until_the_list_drops_it(self):
-        # The loader's sidecar stops in mid load. The others wait for it, since it may load on; when
-        # its host is off the list they end its turn, and as it wakes it goes on by a new one.
+        # The sidecar of a loading endpoint is paused. The others wait, since its load may continue.
+        # When its host leaves the list they end its turn, and after the pause it takes a new one.
         rollout = Rollout(count=3, has_log=True)
         rollout.view = view(2, "v2", min_serving=1, parallel_loads=1)
         while not any(r.phase is Phase.LOADING for r in rollout.runners.values()):
@@ -349,7 +349,7 @@
         assert rollout.least_serving >= 1
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_turns_whose_answers_are_lost_stop_nobody(self, seed):
+    def test_rollout_completes_despite_lost_answers_of_the_log(self, seed):
         rollout = Rollout(seed=seed, has_log=True)
         rollout.log.settings = LogModelSettings(lost_answer_ratio=0.3, lost_append_ratio=0.3)
         rollout.view = view(2, "v2", min_serving=3, parallel_loads=1)
@@ -359,7 +359,7 @@
         assert rollout.versions() == ["v2"] * 5
         assert rollout.store.peak == 1
 
-    def test_an_empty_engine_behind_one_that_must_not_stop_gets_its_turn(self):
+    def test_empty_engine_gets_its_turn_behind_one_that_must_keep_serving(self):
         rollout = Rollout(count=3, has_log=True)
         rollout.view = view(2, "v2", min_serving=2, parallel_loads=1)
         rollout.engines["drafter-2"].model.models.clear()
@@ -369,10 +369,10 @@
         assert rollout.versions() == ["v2"] * 3
 
     @pytest.mark.parametrize("seed", range(TURN_SEEDS))
-    def test_limits_hold_through_faults_that_come_together(self, seed):
-        # Lists lack endpoints for long, sidecars pause for up to a minute, the log goes down and
-        # loses answers. Callers must find min_serving engines and the store one load at any time,
-        # and when the faults end the roll-out must come to its end.
+    def test_limits_hold_under_concurrent_faults(self, seed):
+        # Lists lack endpoints, sidecars pause for up to a minute, and the log fails and loses
+        # answers. At any time min_serving engines must serve and at most one load may run, and the
+        # rollout must complete after the faults end.
         rollout = Rollout(count=6, seed=seed, has_log=True)
         rollout.view = view(2, "v2", min_serving=4, parallel_loads=1)
         rng = random.Random(seed)
@@ -396,7 +396,7 @@
         assert rollout.store.peak == 1
         assert rollout.least_serving >= 4
 
-    def test_a_roll_out_takes_three_appends_an_endpoint(self):
+    def test_rollout_takes_three_appends_per_endpoint(self):
         rollout = Rollout(count=41, has_log=True, store=WeightStoreModel(load_s=3.0))
         rollout.view = view(2, "v2", min_serving=30, parallel_loads=8)
 
@@ -409,10 +409,10 @@
 
 class TestOldOrders:
     @pytest.mark.parametrize("checks_fence", [True, False], ids=["checks", "ignores"])
-    def test_an_order_of_a_replaced_sidecar_does_not_stay_in_force(self, checks_fence):
-        # A sidecar is paused with an order in hand. A new one in its slot brings the engine to
-        # v2. The old one wakes and its order for v1 goes out: an engine that checks refuses it, one
-        # that ignores the number obeys and is set right by the new sidecar's next read-back.
+    def test_stale_order_of_a_replaced_sidecar_is_corrected(self, checks_fence):
+        # A sidecar is paused before it sends an order for v1, and a new sidecar in its slot brings
+        # the engine to v2. Then the old one sends its order. An engine that checks the fencing
+        # token refuses it; one that does not is corrected after the new sidecar's next read.
         rollout = Rollout(count=1, checks_fence=checks_fence)
         rollout.view = view(2, "v2", min_serving=0)
         rollout.run(60)
@@ -424,7 +424,7 @@
         assert engine.models == {"drafter": "v2"}
         assert (engine.orders == 1) is checks_fence
 
-    def test_an_answer_lost_after_effect_is_found_out_by_reading_back(self):
+    def test_order_with_a_lost_answer_is_detected_by_reading_the_state(self):
         rollout = Rollout(count=1)
         rollout.engines["drafter-0"].lose_answers = True
         rollout.view = view(2, "v2", min_serving=0, adapters=("gu",))
--- a/testing/test_peers.py
+++ b/testing/test_peers.py
@@ -13,7 +13,7 @@
 from beryljunction.wire import PEERS_PATH
 
 KEY = "0123456789abcdef0123456789abcdef"
-# At the target a service has 41 endpoints; a node may spend this much on all control traffic.
+# At the target a service has 41 endpoints, and a node has this budget for all control traffic.
 ENDPOINTS = 41
 BUDGET_BYTES_PER_S = 4096
 
@@ -23,7 +23,7 @@
 
 
 class Peer:
-    """One sidecar's exchange behind a real listener, with its bytes counted."""
+    """One sidecar's peer exchange behind a real listener, which counts its bytes."""
 
     def __init__(self, name, version=0):
         self.load = LoadSystem(name, "0a1b2c3d4e5f", rng=random.Random(1))
@@ -51,7 +51,7 @@
         self.answered_bytes += sent + received
 
     def know(self, count):
-        """Hear of others under load, as after some minutes of a busy fleet."""
+        """Add rows of other endpoints, as in a busy fleet after some minutes."""
         rows = [
             LoadRow(f"reel-llm-{i}", "0a1b2c3d4e5f", 86_400 + i, 17, 3, 123_456, 31.4)
             for i in range(count)
@@ -75,7 +75,7 @@
 
 
 class TestPeerExchange:
-    def test_rows_of_third_endpoints_are_passed_on(self):
+    def test_rows_of_other_endpoints_are_passed_on(self):
         async def run():
             first, second, third = (Peer(name) for name in ("a", "b", "c"))
             first.load.note_own(7, 2, 900, 100.0)
@@ -99,11 +99,11 @@
 
         first, second = anyio.run(run)
 
-        # On average a sidecar asks one peer and is asked by one in each interval.
-        an_interval = (first.asked_bytes + second.answered_bytes) / 10
-        assert an_interval / first.load.interval_s < BUDGET_BYTES_PER_S
+        # On average a sidecar sends to one peer and receives from one in each interval.
+        bytes_per_interval = (first.asked_bytes + second.answered_bytes) / 10
+        assert bytes_per_interval / first.load.interval_s < BUDGET_BYTES_PER_S
 
-    def test_counts_of_both_ends_agree(self):
+    def test_byte_counts_of_both_ends_agree(self):
         async def run():
             first, second = Peer("a"), Peer("b")
             first.know(20)
@@ -115,7 +115,7 @@
 
         assert asked == pytest.approx(answered, rel=0.05)
 
-    def test_newer_settings_of_a_peer_are_noticed_by_who_asks_and_who_is_asked(self):
+    def test_newer_settings_are_noticed_by_the_sender_and_the_receiver(self):
         async def run():
             old, new = Peer("old", version=3), Peer("new", version=5)
             async with peers(old, new):
@@ -125,7 +125,7 @@
 
         assert anyio.run(run) == ([("new", 5), ("new", 5)], [])
 
-    def test_peer_that_does_not_answer_is_passed_over(self):
+    def test_peer_that_does_not_answer_raises_no_error(self):
         async def run():
             peer = Peer("a")
             peer.exchange.set_peers({"b": "127.0.0.1:1"})
@@ -159,7 +159,7 @@
         assert peer.load.peer("reel-llm-1") is not None
         peer.server.listener.close()
 
-    def test_endpoint_that_is_heard_of_before_it_is_listed_counts(self):
+    def test_endpoint_with_a_row_counts_before_it_is_listed(self):
         peer = Peer("a")
         peer.exchange.set_peers({"reel-llm-1": "x:2"})
         peer.know(2)
--- a/testing/test_placement.py
+++ b/testing/test_placement.py
@@ -57,9 +57,9 @@
         assert placement.candidates(query, 1.0)[-1] is home
         assert placement.candidates(query, 6.0)[0] is home
 
-    def test_another_region_takes_only_what_the_own_one_can_not(self):
-        # The link between two regions is lost for an hour. Callers of each region must find their
-        # chats where they were, so a home may not lie across the link to begin with.
+    def test_endpoints_in_other_regions_are_tried_last(self):
+        # When the link between two regions is lost for an hour, callers must still reach the
+        # endpoints of their chats. So the home of a chat must be in the caller's region.
         table = endpoint_table(8)
         for number, row in enumerate(table):
             row.region = "gj-west" if number < 3 else "prairies"
@@ -69,7 +69,7 @@
             rows = placement.candidates(PlacementQuery("drafter", chat), 0.0)
             assert [row.region for row in rows] == ["gj-west"] * 3 + ["prairies"] * 5
 
-    def test_region_moves_no_chat_when_another_region_changes(self):
+    def test_change_in_another_region_moves_no_chat(self):
         table = endpoint_table(8)
         for number, row in enumerate(table):
             row.region = "gj-west" if number < 3 else "prairies"
--- a/testing/test_pointers.py
+++ b/testing/test_pointers.py
@@ -3,7 +3,7 @@
 
 
 class TestPointers:
-    def test_live_on_while_they_are_asked_for(self):
+    def test_life_is_extended_by_lookups(self):
         pointers = PointerSystem("e0", life_s=10.0)
         pointers.placed(7, "e1", 100, 0.0)
 
@@ -11,7 +11,7 @@
         assert pointers.look_up(7, 16.0).endpoint_id == "e1"
         assert pointers.look_up(7, 27.0) is None
 
-    def test_make_room_for_new_ones_the_least_used_first(self):
+    def test_least_recently_used_is_evicted_first(self):
         pointers = PointerSystem("e0", chats=ChatTable(capacity=2))
         for chat in (1, 2, 3):
             pointers.placed(chat, "e0", 100, 0.0)
@@ -21,7 +21,7 @@
 
 
 class TestCacheEvents:
-    def test_eviction_forgets_the_chat_here_and_no_pointer_elsewhere(self):
+    def test_eviction_drops_only_pointers_to_this_endpoint(self):
         pointers = PointerSystem("e0")
         pointers.placed(1, "e0", 100, 0.0)
         pointers.placed(2, "e1", 100, 0.0)
@@ -31,9 +31,9 @@
         assert pointers.look_up(1, 0.0) is None
         assert pointers.look_up(2, 0.0).endpoint_id == "e1"
 
-    def test_event_after_a_gap_counts_and_one_that_comes_late_does_not(self):
-        # Events 2 to 4 are lost, event 3 comes after event 5. The chat of event 3 has run again
-        # in the meantime; forgetting it would send its next turn elsewhere for nothing.
+    def test_event_after_a_gap_is_applied_and_a_late_one_ignored(self):
+        # Events 2 to 4 are missing when event 5 arrives, and event 3 arrives after it. The chat of
+        # event 3 has run again since, so dropping it would needlessly move its next request.
         pointers = PointerSystem("e0")
         for chat in (1, 2):
             pointers.placed(chat, "e0", 100, 0.0)
--- a/testing/test_policy.py
+++ b/testing/test_policy.py
@@ -1,4 +1,4 @@
-"""Decisions under load, by what callers get; the bars of all seeds are the bench's business."""
+"""Results for callers under simulated load; the benchmark checks the limits for all seeds."""
 
 import functools
 
@@ -17,14 +17,14 @@
 
 class TestCallersUnderLoad:
     @pytest.mark.parametrize("scenario", ["steady", "skewed", "mixed"])
-    def test_returning_chats_are_found_warm_and_load_stays_even(self, scenario):
+    def test_returning_chats_find_their_prefix_and_load_is_balanced(self, scenario):
         figures = run(scenario)
 
         assert figures.found_warm_ratio >= 0.96
         assert figures.max_over_mean <= 1.25
         assert figures.refused_ratio == 0.0
 
-    def test_burst_is_taken_without_refusals_or_a_storm_of_retries(self):
+    def test_burst_causes_few_refusals_and_no_retry_storm(self):
         figures = run("burst")
 
         assert figures.refused_ratio <= 0.05
@@ -38,28 +38,29 @@
         assert figures.small_account_refused_ratio == 0.0
         assert figures.refused_ratio > 0.0
 
-    def test_slow_endpoint_costs_callers_little_more_than_its_loss(self):
+    def test_slow_endpoint_is_little_worse_than_a_removed_one(self):
         slow, removed = run("slow-endpoint"), run("removed-endpoint")
 
         assert slow.first_token_s_p95 <= 1.3 * removed.first_token_s_p95
 
-    def test_saturated_fleet_works_on_what_still_meets_its_deadline(self):
+    def test_saturated_fleet_runs_requests_that_meet_their_deadline(self):
         figures = run("saturated")
 
         assert figures.goodput_over_capacity >= 0.95
         assert figures.retries_over_requests <= 0.1
         assert figures.false_not_run == 0
 
-    def test_churn_keeps_chats_warm_and_load_even(self):
+    def test_churn_keeps_prefixes_cached_and_load_balanced(self):
         figures, unbounded = run("churn"), run("churn", "unbounded")
 
         assert figures.found_warm_ratio >= 0.97 * unbounded.found_warm_ratio
         assert figures.max_over_mean <= 1.25
 
-    def test_loss_of_a_zone_cuts_only_what_ran_there(self):
-        # Two of five endpoints are lost at once. Callers in mid-answer are told that it broke; all
-        # others are served by those that are left, which then run near their limits. Small accounts
-        # still start in time for the users' 0.32 s to the first token.
+    def test_loss_of_a_zone_breaks_only_requests_running_there(self):
+        # Two of five endpoints are lost at once. Answers in progress there break; all others are
+        # served by the remaining endpoints, which then run near their limits. Requests of small
+        # accounts must still start early enough for a first token within 0.32 s, which the users
+        # require.
         figures, unbounded = run("zone-loss"), run("zone-loss", "unbounded")
 
         assert figures.refused_ratio <= unbounded.refused_ratio + 0.03
@@ -69,26 +70,26 @@
         assert (figures.double_runs, figures.false_not_run) == (0, 0)
 
     @pytest.mark.parametrize("scenario", ["flap", "disagree", "gaps", "pause"])
-    def test_faults_break_no_promise(self, scenario):
+    def test_faults_cause_no_double_runs_or_false_not_run(self, scenario):
         figures = run(scenario)
 
         assert figures.double_runs == 0
         assert figures.false_not_run == 0
         assert figures.retries_over_requests <= 0.1
 
-    def test_figures_are_the_same_each_time(self):
+    def test_figures_are_reproducible(self):
         assert run.__wrapped__("pause") == run("pause")
 
-    def test_load_stays_even_when_an_endpoint_is_back_before_the_list_has_it(self):
-        # An endpoint comes back and tells its peers before the lagging list names it. Counted only
-        # once it is listed, it takes the mean down all at once, after the others have filled up.
+    def test_load_is_balanced_if_an_endpoint_returns_before_it_is_listed(self):
+        # An endpoint returns and sends its row to peers before it is in the lagging list. If it
+        # counted only once it is listed, the mean would drop at once, after the others filled up.
         assert run_policy("churn", "sahyog", "current", 18).max_over_mean <= 1.25
 
     @pytest.mark.parametrize(("scenario", "seed"), [("skewed", 2), ("steady", 12)])
-    def test_load_stays_even_when_the_mean_falls_fast(self, scenario, seed):
-        # Two of the 20 seeds with nine endpoints. Demand falls, and the mean that the sidecars
-        # have heard of is older than the one they are measured by: for a moment one endpoint runs
-        # more than 1.25 times the mean, though it started nothing above the bound it knew.
+    def test_load_is_balanced_when_the_mean_falls_fast(self, scenario, seed):
+        # Two of the 20 seeds with nine endpoints. Demand falls, and the mean known to the sidecars
+        # is older than the actual one. Without a margin, an endpoint that respects its bound would
+        # briefly run more than 1.25 times the actual mean.
         figures = run_policy(scenario, "sahyog", "current", seed)
 
         assert figures.max_over_mean <= 1.25
--- a/testing/test_ticket_attempts.py
+++ b/testing/test_ticket_attempts.py
@@ -19,9 +19,9 @@
         assert attempts.first() == Mint(FIRST)
         assert attempts.after(failed(Ran.NO), "t1") == Mint(SECOND)
 
-    def test_ticket_in_doubt_is_never_replaced(self):
-        # The first try ends unknown: it may have run. The next ones can't connect. That proves
-        # nothing about the first, so no other endpoint may be tried and "no" may not be said.
+    def test_ticket_with_an_unknown_outcome_is_never_replaced(self):
+        # The first try may have run, and the next ones fail to connect. That proves nothing about
+        # the first, so no other endpoint may be tried and the refusal must not be "not run".
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
 
@@ -50,8 +50,8 @@
         assert steps[4] == GiveUp(burned)
 
     def test_own_ticket_of_an_earlier_incarnation_is_replaced_once(self):
-        # The entry minted on a stamp of a sidecar that has started anew since. Nobody but the
-        # present one was shown the ticket, and it refused it, so a new one can't double the run.
+        # The sidecar restarted after the entry minted a ticket with its stamp. Only the current
+        # incarnation has seen the ticket, and it refused it, so a new ticket is safe.
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
         stale = failed(Ran.UNKNOWN, RefusalCode.TICKET_INVALID)
@@ -66,7 +66,7 @@
         assert attempts.after(stale, "theirs") == GiveUp(stale)
 
     @pytest.mark.parametrize("ran", [Ran.YES, Ran.UNKNOWN], ids=["ran", "unknown"])
-    def test_what_its_sidecar_knows_to_have_failed_is_final(self, ran):
+    def test_failure_reported_by_the_sidecar_is_final(self, ran):
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
         assert isinstance(attempts.after(failed(ran), "t1"), GiveUp)
@@ -75,9 +75,9 @@
         ("ticket", "ran"),
         [pytest.param(None, Ran.NO, id="own"), pytest.param("theirs", Ran.UNKNOWN, id="callers")],
     )
-    def test_stale_stamp_is_sent_again_and_proves_nothing_of_a_callers_ticket(self, ticket, ran):
-        # The sidecar refuses the try before it looks at the ticket, three times. The caller's own
-        # earlier try under the ticket may have run, so "no" may be said of an own ticket only.
+    def test_stale_stamp_causes_a_resend_and_leaves_a_callers_ticket_unknown(self, ticket, ran):
+        # The sidecar refuses three tries before it checks the ticket. An earlier try with the
+        # caller's ticket may have run, so only for an own ticket the answer may be "not run".
         attempts = TicketAttempts([FIRST, SECOND], ticket)
         attempts.first()
         stale = failed(Ran.NO, RefusalCode.STALE_STAMP)
@@ -87,7 +87,7 @@
         assert steps[:2] == [UseTicket(ticket or "t1")] * 2
         assert steps[2].refusal.ran is ran
 
-    def test_no_endpoint_is_told_at_once(self):
+    def test_request_without_candidates_is_refused_at_once(self):
         step = TicketAttempts([], None).first()
         assert step.refusal.ran is Ran.NO
 
@@ -101,7 +101,7 @@
         assert attempts.after(failed(Ran.NO, code), "t1") == Mint(SECOND)
 
     def test_callers_ticket_that_was_burned_without_successor_is_not_replaced(self):
-        # Another entry may be walking the same chain: a ticket minted here would be a second one.
+        # Another entry may use the same ticket, and a ticket minted here would be a second one.
         attempts = TicketAttempts([FIRST, SECOND], "theirs")
         attempts.first()
         burned = failed(Ran.NO, RefusalCode.LEAVING)
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -43,7 +43,7 @@
 
 
 class TestTicketLedger:
-    def test_first_claim_runs_and_second_joins_it(self):
+    def test_first_claim_runs_and_second_attaches_to_it(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
 
@@ -53,7 +53,7 @@
         assert isinstance(first, Run)
         assert second == AlreadyRunning(first.serial, "r1")
 
-    def test_finished_answer_is_given_again(self):
+    def test_finished_answer_is_replayed(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
@@ -74,7 +74,7 @@
 
         assert claim_refusal(here.claim(ticket, ask("r2"), 1002.0)).ran is Ran.YES
 
-    def test_oldest_answer_makes_room_and_its_run_is_remembered(self):
+    def test_oldest_answer_is_evicted_and_its_run_still_known(self):
         here = ledger()
         tickets = [here.mint("federation", 1000.0) for _ in range(2)]
         for ticket in tickets:
@@ -87,7 +87,7 @@
         assert first == Replay(None)
         assert second.answer.body == b"x" * 60
 
-    def test_two_entries_are_led_to_the_same_successor(self):
+    def test_two_entries_get_the_same_successor(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
@@ -101,7 +101,7 @@
         assert claim_refusal(burned).ran is Ran.NO
         assert claim_refusal(later).ran is Ran.UNKNOWN
 
-    def test_burned_ticket_without_successor_gets_its_one_from_a_later_try(self):
+    def test_burned_ticket_without_successor_gets_one_from_a_later_try(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
@@ -183,13 +183,13 @@
             ),
         ],
     )
-    def test_what_is_no_ticket_of_this_sidecar_never_runs(self, text, expected):
+    def test_invalid_ticket_never_runs(self, text, expected):
         assert ledger().claim(text, ask(), 1001.0) == expected
 
     def test_expired_ticket_stays_expired_when_the_clock_is_set_back(self):
-        # The caller's answer is lost and its ticket's row is forgotten after the ticket's life.
-        # Then the host's clock is set back to before the expiry. A ledger that trusted it would
-        # take the ticket for a new one and run the request again.
+        # The ticket's row is removed when the ticket expires. Then the host's clock is set back to
+        # before the expiry. A ledger that trusted it would treat the ticket as new and run the
+        # request again.
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
@@ -208,10 +208,10 @@
 
         assert here.claim(ticket, ask("r2"), 5000.0) == AlreadyRunning(run.serial, "r1")
 
-    def test_full_ledger_refuses_for_ever_what_it_refused(self):
-        # The table is full, so a ticket is refused as "not run" and its caller told so. A copy of
-        # the same request, late on a slow connection, arrives when there is room again. It must
-        # not run: the caller has acted on the "no".
+    def test_full_ledger_refuses_a_late_copy_of_a_refused_request(self):
+        # The table is full, so a request is refused as "not run" and the caller may act on that. A
+        # copy of the request, delayed on a slow connection, arrives when there is room again. It
+        # must not run.
         here = ledger()
         for i in range(4):
             here.claim(here.mint("federation", 1000.0), ask(f"r{i}"), 1001.0)
@@ -227,7 +227,7 @@
         assert (late, len(here.table)) == (Full(), 0)
         assert isinstance(here.claim(here.mint("federation", 1102.0), ask("r6"), 1102.0), Run)
 
-    def test_full_ledger_still_answers_for_what_it_holds(self):
+    def test_full_ledger_still_finds_its_rows(self):
         here = ledger()
         tickets = [here.mint("federation", 1000.0) for _ in range(5)]
         for ticket in tickets:
@@ -235,9 +235,9 @@
 
         assert isinstance(here.claim(tickets[0], ask("r2"), 1002.0), AlreadyRunning)
 
-    def test_paused_sidecar_does_not_start_what_its_callers_gave_up_on(self):
-        # A request waits at a sidecar that is stopped for a minute. Its caller has been told
-        # "unknown" long since. On waking, the sidecar finds the engine idle and would start it.
+    def test_paused_sidecar_does_not_start_requests_past_their_deadline(self):
+        # A request waits at a sidecar that is paused for a minute, and its caller is told "unknown"
+        # meanwhile. After the pause, the sidecar must not start it although the engine is idle.
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
@@ -249,17 +249,17 @@
         "heard", [None, Stamp("drafter-0", "inc-z", 5)], ids=["no-stamp", "earlier-start"]
     )
     def test_message_of_unknown_age_does_not_run(self, heard):
-        # A request lies in the network while the sidecar's host is replaced, and reaches the new
-        # one. Its caller has been told "unknown". Nothing here says how old it is.
+        # A request is delayed in the network while the sidecar's host is replaced, and arrives at
+        # the new one after its caller was told "unknown". Its age can't be determined there.
         here = ledger()
 
         claim = here.claim(here.mint("federation", 1000.0), ask(heard=heard), 1001.0)
 
         assert claim == Unstamped()
 
-    def test_time_in_a_silent_connection_counts_against_the_deadline(self):
-        # The request is sent 2 s after the entry heard the sidecar's stamp and lies in a silent
-        # connection for 30 s. Counted from its arrival the deadline would still be ahead.
+    def test_time_in_a_stalled_connection_counts_against_the_deadline(self):
+        # The request is sent 2 s after the entry received the sidecar's stamp, and is delayed for
+        # 30 s in a stalled connection. Counted from its arrival the deadline would not have passed.
         here = ledger()
         heard = here.stamp(1000.0)
         ticket = here.mint("federation", 1000.0)
@@ -273,16 +273,16 @@
     def system(self, max_rows: int = 3) -> TombstoneSystem:
         return TombstoneSystem("drafter-0", "inc-a", 0.0, TombstoneLimits(60.0, max_rows))
 
-    def test_late_arrival_meets_the_tombstone(self):
-        # The entry's connection breaks before the request gets through. It asks on a new one, is
-        # told "not run" and tells the caller. Then the old connection delivers the request.
+    def test_late_arrival_is_refused_by_the_tombstone(self):
+        # The entry's connection breaks before the request arrives. It asks on a new connection and
+        # reports "not run" to the caller. Then the old connection delivers the request.
         here = self.system()
         heard = here.stamp(1.0)
 
         assert here.ask("r1", heard, 0.0, 2.0) is Asked.NOT_RUN
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.BURIED
 
-    def test_what_arrived_is_seen_and_its_copy_is_a_duplicate(self):
+    def test_request_that_arrived_is_seen_and_its_copy_is_a_duplicate(self):
         here = self.system()
         heard = here.stamp(1.0)
 
@@ -290,7 +290,7 @@
         assert here.ask("r1", heard, 0.0, 3.0) is Asked.SEEN
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.DUPLICATE
 
-    def test_entry_that_heard_nothing_for_long_may_still_send(self):
+    def test_entry_with_an_old_stamp_may_still_send(self):
         here = self.system()
         heard = here.stamp(1.0)
 
@@ -310,10 +310,10 @@
     @pytest.mark.parametrize(
         "heard", [None, Stamp("drafter-0", "inc-z", 1)], ids=["no-stamp", "earlier-start"]
     )
-    def test_not_run_is_not_said_without_a_stamp_of_this_start(self, heard):
+    def test_answer_is_unknown_without_a_stamp_of_this_incarnation(self, heard):
         assert self.system().ask("r1", heard, 0.0, 2.0) is Asked.UNKNOWN
 
-    def test_full_table_forgets_no_arrival_and_keeps_its_word(self):
+    def test_full_table_keeps_arrivals_and_refuses_requests_reported_as_not_run(self):
         here = self.system(max_rows=1)
         heard = here.stamp(1.0)
         here.arrive("r1", heard, 0.0, 1.0)
--- a/testing/test_turns.py
+++ b/testing/test_turns.py
@@ -33,12 +33,12 @@
         ],
         ids=["doubled-take", "taken-anew", "end-overtaken-by-a-renewal", "poison"],
     )
-    def test_first_take_in_log_order_stands_before(self, records):
+    def test_first_take_in_log_order_is_first(self, records):
         queue = queue_of(*records)
 
         assert (set(queue.before("a")), set(queue.before("b"))) == (set(), {"a"})
 
-    def test_a_turn_ends_by_its_newest_renewal_or_with_its_last_record(self):
+    def test_turn_ends_by_an_end_of_its_last_renewal_or_with_its_last_record(self):
         ended = queue_of(take_record("a"), renew_record("a"), end_record("a", 2))
         dropped = queue_of(take_record("a"), take_record("b"), first_offset=2)
 
@@ -50,10 +50,10 @@
     def decide(self, system, queue, now_s, answers=(), interrupts=True, listed=("b",)):
         return system.decide(queue, listed, answers, LIMITS, interrupts, now_s)
 
-    def test_a_turn_that_this_process_has_not_renewed_does_not_count(self):
-        # A sidecar is replaced, or wakes after a pause, and finds a turn in its name on the log.
-        # Others may have seen no renewal for 90 s and be about to end it, so that acting on it at
-        # once would let two load together.
+    def test_turn_is_used_only_after_a_renewal_by_this_process(self):
+        # A sidecar that was replaced or paused finds its endpoint's turn on the log. Others may
+        # have seen no renewal for 90 s and be about to end the turn. If the sidecar used it at
+        # once, two endpoints could load together.
         system = TurnSystem("a", random.Random(1))
         left = [take_record("a"), renew_record("a")]
 
@@ -63,7 +63,7 @@
 
         assert (found, renewed, woken) == (RenewTurn(), Go(), RenewTurn())
 
-    def test_a_silent_turn_is_ended_only_when_unlisted_and_not_renewed(self):
+    def test_turn_of_another_is_ended_only_if_unlisted_and_not_renewed(self):
         system = TurnSystem("a", random.Random(1))
         records = [take_record("c"), take_record("a")]
         self.decide(system, queue_of(*records), 0.0)
@@ -79,7 +79,7 @@
         assert isinstance(listed, Stay)
         assert silent == EndTurn("c", 3)
 
-    def test_who_would_break_the_floor_queues_up_again_at_the_end(self):
+    def test_endpoint_that_would_violate_min_serving_moves_to_the_end(self):
         system = TurnSystem("a", random.Random(1))
         queue = queue_of(take_record("a"))
         self.decide(system, queue, 0.0)
@@ -91,7 +91,7 @@
         assert isinstance(waits, Stay)
         assert yields == EndTurn("a", 2)
 
-    def test_takes_of_a_fleet_are_spread_and_repeated_when_unseen(self):
+    def test_takes_of_a_fleet_are_spread_and_repeated_if_unseen(self):
         taken_s = []
         for number in range(100):
             system = TurnSystem("a", random.Random(number))
--- a/testing/test_uploads.py
+++ b/testing/test_uploads.py
@@ -16,13 +16,13 @@
         [(["jury"], 500), (["jury", "mill"], 660), (["jury", "mill", "fair"], 750)],
         ids=["half", "two-thirds", "three-quarters"],
     )
-    def test_something_is_left_however_much_large_accounts_send(self, hogs, held_bytes):
-        # A few accounts begin far more uploads than fit and end none. Without the threshold they
-        # would hold all of the bound, and a village secretary's short draft would be refused.
+    def test_space_is_left_for_small_accounts(self, hogs, held_bytes):
+        # A few accounts start far more uploads than fit and end none. Without the threshold they
+        # would use the whole limit, and a short body of another account would be refused.
         system = uploads()
         for _ in range(1000):
-            for hog in hogs:
-                system.begin(hog, 10)
+            for account in hogs:
+                system.begin(account, 10)
 
         assert system.held_bytes == pytest.approx(held_bytes, abs=10 * len(hogs))
         assert system.begin("hall", 100) is not None
