--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -30,12 +30,12 @@
 # this time, which makes 70 per second; the other appends are as slow as the loads.
 _SPREAD_S = 10.0
 # A take that is not seen on the log is repeated after this time; a second copy has no effect.
-_TAKE_AGAIN_S = 5.0
+_TAKE_RETRY_S = 5.0
 # The turn of a dead endpoint would block all later ones forever. Others end it once the endpoint is
 # missing from their list and the turn was not renewed for this time; a live endpoint may be missing
 # from the list for minutes. The end record names the last known renewal, so it can't end a turn
 # that was renewed since.
-_SILENT_S = 90.0
+_ABANDONED_AFTER_S = 90.0
 _RENEW_S = 30.0
 # An endpoint uses its turn only within this time after its last renewal, well before others may end
 # it, in case the process was paused. A pause between this check and the order remains possible. It
@@ -128,7 +128,7 @@
         if not interrupts or kept >= limits.min_serving:
             self._held_back_since_s = None
             return Go()
-        return self._hold_back(own, kept, limits, now_s)
+        return self._stay_or_yield(own, kept, limits, now_s)
 
     def holds(self, queue: TurnQueue, now_s: float) -> bool:
         """Whether this process renewed its turn recently, so that no other may end it."""
@@ -161,10 +161,10 @@
             self._take_at_s = now_s + self._rng.uniform(0.0, _SPREAD_S)
         if now_s < self._take_at_s:
             return Stay("waiting to take a turn on the log")
-        self._take_at_s = now_s + _TAKE_AGAIN_S
+        self._take_at_s = now_s + _TAKE_RETRY_S
         return TakeTurn()
 
-    def _hold_back(
+    def _stay_or_yield(
         self, own: Turn, kept: int, limits: RolloutLimits, now_s: float
     ) -> Stay | EndTurn:
         if self._held_back_since_s is None:
@@ -189,7 +189,7 @@
             for name, known in seen.items()
         }
         for name, renewal in self._seen_renewals.items():
-            if now_s - renewal.seen_s >= _SILENT_S:
+            if now_s - renewal.seen_s >= _ABANDONED_AFTER_S:
                 return name
         return None
 
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -71,7 +71,7 @@
         self._previous_home = previous_home
         self._loads: dict[str, LoadRow] = {}
         self._overloaded: list[Endpoint] = []
-        self._followed = False
+        self._pointer_followed = False
         self._maybe_ran = False
         self._returned = False
         self._resent = False
@@ -106,8 +106,8 @@
         may_repeat = refusal.ran is Ran.NO or (self._idempotent and refusal.ran is Ran.UNKNOWN)
         if not may_repeat or refusal.code in _FINAL_CODES:
             return self._give_up(refusal)
-        if refusal.code is RefusalCode.CHAT_MOVED and not self._followed:
-            return self._follow(refusal, endpoint)
+        if refusal.code is RefusalCode.CHAT_MOVED and not self._pointer_followed:
+            return self._follow_pointer(refusal, endpoint)
         if refusal.code in _PREVIOUS_HOME_CODES and self._remaining:
             return self._next(warm=True)
         if refusal.code is RefusalCode.LEAVING and self._remaining:
@@ -135,9 +135,9 @@
         rows.pop(taker.endpoint_id, None)
         return list(rows.values())
 
-    def _follow(self, refusal: Refusal, home: Endpoint | None) -> Step:
+    def _follow_pointer(self, refusal: Refusal, home: Endpoint | None) -> Step:
         """Try the endpoint that the home's pointer names; try the home again if it is gone."""
-        self._followed = True
+        self._pointer_followed = True
         self._pointer = refusal.pointer
         target = next((row for row in self._remaining if row.endpoint_id == refusal.pointer), None)
         if target is None and home is not None:
@@ -215,13 +215,13 @@
         once per request, so the queues limit it and the retry budget is not charged.
         """
         self._returned = True
-        best = min(self._overloaded, key=self._time_to_drain)
+        best = min(self._overloaded, key=self._relative_load)
         self._overloaded.clear()
         self._remaining.clear()
         self.tries += 1
         return Try(best, last_resort=True, ignore_pointer=True, loads=tuple(self._loads.values()))
 
-    def _time_to_drain(self, row: Endpoint) -> float:
+    def _relative_load(self, row: Endpoint) -> float:
         """Return requests divided by speed, so that a slow endpoint is not the least loaded."""
         load = self._loads.get(row.endpoint_id)
         if load is None:
@@ -237,7 +237,7 @@
             endpoint,
             warm=warm,
             last_resort=not self._remaining and not self._overloaded,
-            ignore_pointer=self._followed,
+            ignore_pointer=self._pointer_followed,
             loads=tuple(self._loads.values()),
         )
 
--- a/src/beryljunction/systems/requests/uploads.py
+++ b/src/beryljunction/systems/requests/uploads.py
@@ -37,7 +37,7 @@
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self.held_bytes = 0
-        self._by_account: dict[str, int] = {}
+        self._bytes_by_account: dict[str, int] = {}
 
     def begin(self, account: str, announced_bytes: int, weight: float = 1.0) -> Upload | None:
         """Admit a body, or return None if there is no room for it now.
@@ -46,34 +46,34 @@
         that the caller has sent.
         """
         upload = Upload(account, 0)
-        return upload if self._hold(upload, announced_bytes, weight) else None
+        return upload if self._reserve(upload, announced_bytes, weight) else None
 
     def receive(self, upload: Upload, size_bytes: int, weight: float = 1.0) -> bool:
         """Count received bytes; return False if a body without a length exceeds the limit."""
         upload.received_bytes += size_bytes
-        return self._hold(upload, upload.received_bytes - upload.held_bytes, weight)
+        return self._reserve(upload, upload.received_bytes - upload.held_bytes, weight)
 
     def end(self, upload: Upload) -> None:
         """Release the bytes of a body, however its upload ended."""
         self.held_bytes -= upload.held_bytes
-        left_bytes = self._by_account.get(upload.account, 0) - upload.held_bytes
+        left_bytes = self._bytes_by_account.get(upload.account, 0) - upload.held_bytes
         upload.held_bytes = 0
         if left_bytes > 0:
-            self._by_account[upload.account] = left_bytes
+            self._bytes_by_account[upload.account] = left_bytes
         else:
-            self._by_account.pop(upload.account, None)
+            self._bytes_by_account.pop(upload.account, None)
 
-    def _hold(self, upload: Upload, more_bytes: int, weight: float) -> bool:
+    def _reserve(self, upload: Upload, more_bytes: int, weight: float) -> bool:
         if more_bytes <= 0:
             return True
         free_bytes = self.limit_bytes - self.held_bytes - more_bytes
-        account_bytes = self._by_account.get(upload.account, 0)
+        account_bytes = self._bytes_by_account.get(upload.account, 0)
         is_only_body = account_bytes == upload.held_bytes
         if free_bytes < 0:
             return False
         if not is_only_body and account_bytes + more_bytes > weight * free_bytes:
             return False
         self.held_bytes += more_bytes
-        self._by_account[upload.account] = account_bytes + more_bytes
+        self._bytes_by_account[upload.account] = account_bytes + more_bytes
         upload.held_bytes += more_bytes
         return True
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -75,7 +75,7 @@
     ) -> None:
         self.limits = limits if limits is not None else TombstoneLimits()
         self.clock = ForwardClock(started_s, self.limits.life_s)
-        self._name = (endpoint_id, incarnation)
+        self._identity = (endpoint_id, incarnation)
         self._rows: dict[str, tuple[int, bool]] = {}
 
     def __len__(self) -> int:
@@ -83,7 +83,7 @@
 
     def stamp(self, now_s: float) -> Stamp:
         """Return the stamp that entries copy into their requests."""
-        return Stamp(*self._name, self.clock.issue_ms(now_s))
+        return Stamp(*self._identity, self.clock.issue_ms(now_s))
 
     def arrive(self, request_id: str, heard: Stamp | None, age_s: float, now_s: float) -> Arrival:
         """Check an arriving request and store its id.
@@ -156,4 +156,4 @@
             del self._rows[request_id]
 
     def _is_ours(self, stamp: Stamp) -> bool:
-        return (stamp.endpoint_id, stamp.incarnation) == self._name
+        return (stamp.endpoint_id, stamp.incarnation) == self._identity
