--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -91,7 +91,7 @@
 
 
 def hand_on_events_twice(patch):
-    patch.setattr(Delivery, "_is_new", lambda self, event: True)
+    patch.setattr(Delivery, "_advance_position", lambda self, event: True)
 
 
 def end_broken_streams_as_whole(patch):
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -39,9 +39,9 @@
 
     def test_expiry_extended_by_each_reconnecting_host_is_detected(self, monkeypatch):
         def note_answer(self, asked_s, now_s):
-            if self._has_failed:
+            if self._has_failed_read:
                 self.regained_s = now_s
-            self._has_failed = False
+            self._has_failed_read = False
 
         def note_update(self, asked_s, regained_s, now_s):
             self.regained_s = max(self.regained_s, regained_s or 0.0)
