--- a/src/beryljunction/explain.py
+++ b/src/beryljunction/explain.py
@@ -1,4 +1,4 @@
-"""Tells the story of one request from the log lines of any processes."""
+"""Explains what happened to one request, from the log lines of any number of processes."""
 
 import datetime
 import json
@@ -10,10 +10,10 @@
 __all__ = ["LogLine", "Story", "explain", "parse_line"]
 
 _FIELD = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-# What an entry knew is told from this long before the request on: longer than keys are honoured on
-# old settings, so the loss of the store that led to a refusal is in it.
-_BEFORE_S = 15.0
-_WORLD_EVENTS = frozenset(
+# Context events are included from this long before the request. API keys are accepted on stale
+# settings for less time, so the loss of the store that led to a refusal is always included.
+_CONTEXT_BEFORE_S = 15.0
+_CONTEXT_EVENTS = frozenset(
     (
         "started",
         "stopping",
@@ -43,13 +43,13 @@
         "endpoint_paused",
     )
 )
-# These tell of a request by its digest, on any host and long before it came again.
+# These events name a request by its digest. They count on any host and at any time before the end.
 _DIGEST_EVENTS = frozenset(("endpoint_ended", "request_quarantined"))
 
 
 @attrs.frozen
 class LogLine:
-    """One event of a log."""
+    """A log line, parsed into its event, time, host and fields."""
 
     at: datetime.datetime
     event: str
@@ -57,7 +57,7 @@
     fields: dict[str, str]
 
     def get(self, name: str) -> str:
-        """Return a field's text; empty where the line lacks it."""
+        """Return the text of a field, or an empty string if the line does not have it."""
         return self.fields.get(name, "")
 
 
@@ -66,8 +66,8 @@
     """What happened to a request.
 
     Attributes:
-        sentences: One for each step, in order.
-        cause: Why the caller got what it got, in a sentence.
+        sentences: One sentence for each step, in order of time.
+        cause: One sentence on why the request ended as it did.
     """
 
     sentences: tuple[str, ...]
@@ -75,8 +75,8 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line's event; None for a line that is no event, whatever stands before it."""
-    fields = {name: _plain(value) for name, value in _FIELD.findall(text)}
+    """Return the event of a line, or None if the line is not an event; prefixes are ignored."""
+    fields = {name: _unquote(value) for name, value in _FIELD.findall(text)}
     try:
         at = datetime.datetime.fromisoformat(fields["time"])
         return LogLine(at, fields["event"], fields["host"], fields)
@@ -84,7 +84,7 @@
         return None
 
 
-def _plain(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
@@ -94,136 +94,152 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> Story | None:
-    """Return the story of a request; None when no line names it."""
+    """Return what happened to a request, or None if no line contains its id."""
     ordered = sorted(lines, key=lambda line: line.at)
-    own = [line for line in ordered if line.get("request_id") == request_id]
-    if not own:
+    request_lines = [line for line in ordered if line.get("request_id") == request_id]
+    if not request_lines:
         return None
-    world = _world(ordered, own)
-    steps = sorted([*world, *own], key=lambda line: line.at)
-    sentences = tuple(_sentence(line, own[0].at) for line in steps)
-    later = [line for line in ordered if line.host == own[-1].host and line.at > own[-1].at]
-    return Story(sentences, _cause(own, world, later))
-
-
-def _world(ordered: list[LogLine], own: list[LogLine]) -> list[LogLine]:
-    """Return what the request's hosts knew around it: the store, settings, its endpoints."""
-    hosts = {line.host for line in own}
-    endpoints = {line.get("endpoint") for line in own} - {""}
-    digests = {line.get("digest") for line in own} - {""}
-    begins = own[0].at - datetime.timedelta(seconds=_BEFORE_S)
-
-    def matters(line: LogLine) -> bool:
+    context = _context_of(ordered, request_lines)
+    steps = sorted([*context, *request_lines], key=lambda line: line.at)
+    sentences = tuple(_sentence(line, request_lines[0].at) for line in steps)
+    later = [
+        line
+        for line in ordered
+        if line.host == request_lines[-1].host and line.at > request_lines[-1].at
+    ]
+    return Story(sentences, _cause(request_lines, context, later))
+
+
+def _context_of(ordered: list[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
+    """Return events of the store, the settings and the endpoints that concern the request."""
+    hosts = {line.host for line in request_lines}
+    endpoints = {line.get("endpoint") for line in request_lines} - {""}
+    digests = {line.get("digest") for line in request_lines} - {""}
+    start = request_lines[0].at - datetime.timedelta(seconds=_CONTEXT_BEFORE_S)
+
+    def is_relevant(line: LogLine) -> bool:
         if line.event in _DIGEST_EVENTS:
-            return line.get("digest") in digests and line.at <= own[-1].at
-        if line.host not in hosts or not begins <= line.at <= own[-1].at:
+            return line.get("digest") in digests and line.at <= request_lines[-1].at
+        if line.host not in hosts or not start <= line.at <= request_lines[-1].at:
             return False
         is_own_endpoint = line.event in _ENDPOINT_EVENTS and line.get("endpoint") in endpoints
-        return line.event in _WORLD_EVENTS or is_own_endpoint
+        return line.event in _CONTEXT_EVENTS or is_own_endpoint
 
-    return [line for line in ordered if matters(line)]
+    return [line for line in ordered if is_relevant(line)]
 
 
-def _sentence(line: LogLine, begins: datetime.datetime) -> str:
-    after_ms = (line.at - begins).total_seconds() * 1000
-    tell = _SENTENCES.get(line.event)
-    text = tell(line) if tell is not None else f"{line.event}"
-    moment = f"{line.at:%H:%M:%S}.{line.at.microsecond // 1000:03}"
-    return f"{moment} ({after_ms:+.0f} ms) {line.host}: {text}"
+def _sentence(line: LogLine, start: datetime.datetime) -> str:
+    after_ms = (line.at - start).total_seconds() * 1000
+    formatter = _DESCRIPTIONS.get(line.event)
+    text = formatter(line) if formatter is not None else f"{line.event}"
+    time = f"{line.at:%H:%M:%S}.{line.at.microsecond // 1000:03}"
+    return f"{time} ({after_ms:+.0f} ms) {line.host}: {text}"
 
 
-def _sent(line: LogLine) -> str:
+def _describe_sent(line: LogLine) -> str:
     account = f" for {line.get('account')}" if line.get("account") else ""
     return (
         f"sent to endpoint {line.get('endpoint')} of {line.get('service')}{account} by route "
         f"{line.get('route')}, attempt {line.get('attempt')}, {line.get('left_ms')} ms left; "
         f"its load was {line.get('load')}; settings {line.get('settings_version')}, confirmed "
-        f"{line.get('settings_age_s')} s before, endpoints {line.get('endpoints_age_s')} s before"
+        f"{line.get('settings_age_s')} s earlier, endpoints {line.get('endpoints_age_s')} s earlier"
         f" by {line.get('endpoints_by')}"
     )
 
 
-def _ended(line: LogLine) -> str:
+def _describe_attempt_ended(line: LogLine) -> str:
     return (
-        f"the attempt at {line.get('endpoint')} ended as {line.get('outcome')} "
+        f"the attempt at endpoint {line.get('endpoint')} ended as {line.get('outcome')} "
         f"({line.get('detail')}); next: {line.get('verdict')}"
     )
 
 
-def _refused(line: LogLine) -> str:
+def _describe_refusal(line: LogLine) -> str:
     return (
         f"answered {line.get('status')} because of {line.get('reason')}; settings "
-        f"{line.get('settings_version')}, confirmed {line.get('settings_age_s')} s before"
+        f"{line.get('settings_version')}, confirmed {line.get('settings_age_s')} s earlier"
     )
 
 
-_SENTENCES: dict[str, Callable[[LogLine], str]] = {
-    "sent": _sent,
-    "attempt_ended": _ended,
-    "refused": _refused,
-    "failed": _refused,
-    "broken_off": lambda line: f"broke the answer off because of {line.get('reason')}",
+_DESCRIPTIONS: dict[str, Callable[[LogLine], str]] = {
+    "sent": _describe_sent,
+    "attempt_ended": _describe_attempt_ended,
+    "refused": _describe_refusal,
+    "failed": _describe_refusal,
+    "broken_off": lambda line: f"aborted the response because of {line.get('reason')}",
     "answered": lambda line: (
-        f"the caller has its whole answer, {line.get('status')}, the first byte after "
+        f"the caller received the whole response, {line.get('status')}, the first byte after "
         f"{line.get('first_ms')} ms, the last after {line.get('whole_ms')} ms"
     ),
     "not_answered": lambda line: (
-        f"the caller left or was cut off after {line.get('whole_ms')} ms without a whole answer"
+        f"the caller disconnected or was cut off after {line.get('whole_ms')} ms without a "
+        "whole response"
     ),
-    "store_lost": lambda line: f"lost the store ({line.get('topic')}: {line.get('reason')})",
-    "store_regained": lambda line: f"has the store again ({line.get('topic')})",
+    "store_lost": lambda line: (
+        f"can no longer read the store ({line.get('topic')}: {line.get('reason')})"
+    ),
+    "store_regained": lambda line: f"can read the store again ({line.get('topic')})",
     "stands_in": lambda line: (
-        f"reads {line.get('topic')} in place of others, {line.get('age_s')} s old here"
+        f"reads {line.get('topic')} from the store in place of the usual readers; its copy is "
+        f"{line.get('age_s')} s old"
     ),
     "store_restored": lambda line: (
-        f"found the store restored from an older copy ({line.get('topic')}, era "
+        f"found that the store was restored from an older copy ({line.get('topic')}, era "
         f"{line.get('era_before')} to {line.get('era')})"
     ),
-    "settings_applied": lambda line: f"put settings {line.get('version')} in force",
-    "settings_by_peer": lambda line: f"has its settings confirmed by {line.get('peer')}",
-    "settings_by_peer_ended": lambda line: "is no longer confirmed by a peer",
-    "settings_refused": lambda line: f"kept its settings: {line.get('problem')}",
-    "endpoint_gone": lambda line: f"endpoint {line.get('endpoint')} is gone from the store",
-    "endpoint_ended": lambda line: f"endpoint {line.get('endpoint')} ended under this request",
-    "request_quarantined": lambda line: "keeps this request from being sent",
-    "endpoint_leaving": lambda line: f"endpoint {line.get('endpoint')} says that it leaves",
+    "settings_applied": lambda line: f"applied settings {line.get('version')}",
+    "settings_by_peer": lambda line: f"gets its settings confirmed by peer {line.get('peer')}",
+    "settings_by_peer_ended": lambda line: "no longer gets its settings confirmed by a peer",
+    "settings_refused": lambda line: (
+        f"rejected new settings and kept the old ones: {line.get('problem')}"
+    ),
+    "endpoint_gone": lambda line: f"endpoint {line.get('endpoint')} is no longer in the store",
+    "endpoint_ended": lambda line: (
+        f"endpoint {line.get('endpoint')} terminated while it had this request"
+    ),
+    "request_quarantined": lambda line: "quarantined this request and does not send it",
+    "endpoint_leaving": lambda line: (
+        f"endpoint {line.get('endpoint')} announced that it is leaving"
+    ),
     "endpoint_paused": lambda line: (
-        f"endpoint {line.get('endpoint')} wants no requests for {line.get('pause_s')} s"
+        f"endpoint {line.get('endpoint')} asked for no requests for {line.get('pause_s')} s"
     ),
-    "endpoint_draining": lambda line: f"endpoint {line.get('endpoint')} is leaving",
+    "endpoint_draining": lambda line: f"endpoint {line.get('endpoint')} is draining",
     "endpoint_joined": lambda line: f"endpoint {line.get('endpoint')} has joined",
-    "zone_evacuated": lambda line: f"sends nothing new to zone {line.get('zone')}, by the operator",
-    "zone_returned": lambda line: f"sends to zone {line.get('zone')} again",
-    "stopping": lambda line: f"began to stop with {line.get('in_flight')} requests in flight",
-    "cut": lambda line: f"ended with {line.get('in_flight')} requests in flight",
+    "zone_evacuated": lambda line: (
+        f"sends no new requests to zone {line.get('zone')}, which an operator evacuated"
+    ),
+    "zone_returned": lambda line: f"sends requests to zone {line.get('zone')} again",
+    "stopping": lambda line: f"began to shut down with {line.get('in_flight')} requests in flight",
+    "cut": lambda line: f"exited with {line.get('in_flight')} requests in flight",
 }
 
 
-def _cause(own: list[LogLine], world: list[LogLine], later: list[LogLine]) -> str:
-    """Return why the request ended as it did, from its last decision and what was known.
+def _cause(request_lines: list[LogLine], context: list[LogLine], later: list[LogLine]) -> str:
+    """Return why the request ended as it did.
 
     Args:
-        own: Lines that name the request.
-        world: What its hosts knew.
-        later: What its last host wrote after it.
+        request_lines: Lines that contain the request's id.
+        context: Events of the store, the settings and the endpoints that concern the request.
+        later: Lines that the request's last host wrote after the request's last line.
     """
-    by_event = {line.event: line for line in own}
+    by_event = {line.event: line for line in request_lines}
     for event in ("refused", "failed", "broken_off"):
         if event in by_event:
-            return _cause_of(by_event[event], by_event, world)
+            return _cause_of_failure(by_event[event], by_event, context)
     if "attempt_ended" in by_event and by_event["attempt_ended"].get("outcome") == "errored":
         line = by_event["attempt_ended"]
         own_error = f"an error of its own ({line.get('detail')})"
         return f"endpoint {line.get('endpoint')} answered with {own_error}"
     if "answered" in by_event:
-        return "none: the caller has its whole answer"
+        return "none: the caller received the whole response"
     if "not_answered" in by_event:
-        return "the caller left before its answer was whole"
-    return _unfinished(own[-1], later)
+        return "the caller disconnected before the response was whole"
+    return _cause_of_unfinished(request_lines[-1], later)
 
 
-def _unfinished(last: LogLine, later: list[LogLine]) -> str:
-    """Return what is known of a request whose end no line tells."""
+def _cause_of_unfinished(last: LogLine, later: list[LogLine]) -> str:
+    """Return what is known of a request whose end is not in the logs."""
     if not later:
         return (
             f"the log of {last.host} ends at {last.at:%H:%M:%S} with the request in flight: its "
@@ -231,84 +247,87 @@
         )
     if any(line.event == "started" for line in later):
         return (
-            f"{last.host} started anew after {last.at:%H:%M:%S}, with the request in flight; the "
+            f"{last.host} restarted after {last.at:%H:%M:%S}, with the request in flight; the "
             "endpoint may have run it"
         )
-    return f"not known: {last.host} goes on, and no line tells the request's end"
+    return f"unknown: {last.host} kept running, but no line shows how the request ended"
 
 
-def _cause_of(end: LogLine, by_event: dict[str, LogLine], world: list[LogLine]) -> str:
+def _cause_of_failure(end: LogLine, by_event: dict[str, LogLine], context: list[LogLine]) -> str:
     reason = end.get("reason")
-    tell = _CAUSES.get(reason)
-    text = tell(end, by_event) if tell is not None else reason
-    lost = next((line for line in reversed(world) if line.event.startswith("store_")), None)
-    if lost is not None and lost.event == "store_lost" and reason in _FROM_OLD_SETTINGS:
-        text += f"; the host lost the store at {lost.at:%H:%M:%S} ({lost.get('reason')})"
+    formatter = _CAUSES.get(reason)
+    text = formatter(end, by_event) if formatter is not None else reason
+    lost = next((line for line in reversed(context) if line.event.startswith("store_")), None)
+    if lost is not None and lost.event == "store_lost" and reason in _STALE_SETTINGS_REASONS:
+        text += (
+            f"; the host could not read the store from {lost.at:%H:%M:%S} on "
+            f"({lost.get('reason')})"
+        )
     return text
 
 
-_FROM_OLD_SETTINGS = frozenset(("settings_too_old", "unknown_key", "no_route", "no_settings"))
-_Cause = Callable[[LogLine, dict[str, LogLine]], str]
+_STALE_SETTINGS_REASONS = frozenset(("settings_too_old", "unknown_key", "no_route", "no_settings"))
+_CauseFormatter = Callable[[LogLine, dict[str, LogLine]], str]
 
 
-def _old_settings(end: LogLine, _: dict[str, LogLine]) -> str:
+def _explain_stale_settings(end: LogLine, _: dict[str, LogLine]) -> str:
     return (
-        f"the settings were last confirmed {end.get('settings_age_s')} s before, too long ago to "
-        "honour an API key; the request has not run"
+        f"the settings were last confirmed {end.get('settings_age_s')} s earlier, too long ago to "
+        "accept an API key; the request has not run"
     )
 
 
-def _unknown_key(end: LogLine, _: dict[str, LogLine]) -> str:
+def _explain_unknown_key(end: LogLine, _: dict[str, LogLine]) -> str:
     version = end.get("settings_version")
-    why = "it was taken away or is wrong"
-    return f"no client account holds the API key in settings {version}: {why}"
+    why = "it was revoked or is wrong"
+    return f"no client account has the API key in settings {version}: {why}"
 
 
-def _lost_answer(_: LogLine, by_event: dict[str, LogLine]) -> str:
+def _explain_lost_response(_: LogLine, by_event: dict[str, LogLine]) -> str:
     line = by_event.get("attempt_ended")
     if line is None:
-        return "the endpoint's answer was lost; the request may have run"
+        return "the endpoint's response was lost; the request may have run"
     return (
-        f"endpoint {line.get('endpoint')} got the request and gave no usable answer "
+        f"endpoint {line.get('endpoint')} received the request and returned no usable response "
         f"({line.get('detail')}); it may have run, so it was not sent again"
     )
 
 
-def _late(_: LogLine, by_event: dict[str, LogLine]) -> str:
+def _explain_deadline(_: LogLine, by_event: dict[str, LogLine]) -> str:
     sent = by_event.get("sent")
     if sent is None:
-        return "its time was over before it could be sent; it has not run"
-    return f"endpoint {sent.get('endpoint')} had no answer when the time was over; it may have run"
+        return "its deadline passed before it could be sent; it has not run"
+    return f"endpoint {sent.get('endpoint')} had not answered by the deadline; it may have run"
 
 
-def _declined(_: LogLine, by_event: dict[str, LogLine]) -> str:
+def _explain_declined(_: LogLine, by_event: dict[str, LogLine]) -> str:
     line = by_event["attempt_ended"]
     return f"endpoint {line.get('endpoint')} declined it ({line.get('detail')}); it has not run"
 
 
-_CAUSES: dict[str, _Cause] = {
-    "settings_too_old": _old_settings,
-    "unknown_key": _unknown_key,
+_CAUSES: dict[str, _CauseFormatter] = {
+    "settings_too_old": _explain_stale_settings,
+    "unknown_key": _explain_unknown_key,
     "no_route": lambda end, _: f"settings {end.get('settings_version')} have no route for it",
-    "no_settings": lambda *_: "the host had read no settings yet; the request has not run",
-    "no_endpoint": lambda *_: "no endpoint of the service was left to send it to",
+    "no_settings": lambda *_: "the host had not read any settings yet; the request has not run",
+    "no_endpoint": lambda *_: "the service had no endpoint left to send it to",
     "zones_evacuated": lambda *_: (
-        "all endpoints that are left are in zones that the operator empties; it has not run"
+        "all remaining endpoints are in zones that an operator evacuated; it has not run"
     ),
     "endpoints_cold": lambda *_: (
-        "the endpoints that are left have just started and get no more requests this second; "
+        "the remaining endpoints have just started and get no more requests this second; "
         "it has not run"
     ),
     "endpoints_paused": lambda *_: (
-        "the endpoints that are left have asked for a pause; it has not run"
+        "the remaining endpoints have asked for a pause; it has not run"
     ),
     "quarantined": lambda *_: (
-        "several endpoints ended while they had this request, under whatever id; it is not sent"
+        "several endpoints terminated while they had this request, under any id; it is not sent"
     ),
-    "failed": _lost_answer,
-    "declined": _declined,
-    "not_sent": lambda *_: "no endpoint could be connected to; the request has not run",
-    "deadline": _late,
-    "no_time": _late,
-    "retry_budget": lambda *_: "the fleet's share of second sends was used up",
+    "failed": _explain_lost_response,
+    "declined": _explain_declined,
+    "not_sent": lambda *_: "no connection to an endpoint could be opened; the request has not run",
+    "deadline": _explain_deadline,
+    "no_time": _explain_deadline,
+    "retry_budget": lambda *_: "the fleet's retry budget was used up",
 }
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -14,9 +14,9 @@
 
 
 class TestCauses:
-    """Three kinds of failed request, played, then explained from the log lines alone."""
+    """Failed requests are explained from the log lines of a running entry alone."""
 
-    def test_request_refused_in_an_outage_of_the_store(self):
+    def test_request_refused_during_a_store_outage(self):
         async def run():
             async with open_world(route(), bounds=HostBounds(revocation_ms=2_000)) as world:
                 await world.add_endpoint("e1")
@@ -30,9 +30,9 @@
         story = story_of("late1", lines)
 
         assert status == 503
-        assert "too long ago to honour an API key" in story.cause
+        assert "too long ago to accept an API key" in story.cause
         assert "has not run" in story.cause
-        assert "lost the store at" in story.cause
+        assert "the host could not read the store from" in story.cause
 
     def test_request_whose_endpoint_died(self):
         async def die(answer, writer, number):
@@ -49,11 +49,11 @@
         story = story_of("pay7", lines)
 
         assert status == 502
-        assert "endpoint e1 got the request and gave no usable answer" in story.cause
+        assert "endpoint e1 received the request and returned no usable response" in story.cause
         assert "may have run, so it was not sent again" in story.cause
         assert any("sent to endpoint e1 of plain for acme" in text for text in story.sentences)
 
-    def test_request_with_a_key_taken_away(self):
+    def test_request_with_a_revoked_key(self):
         async def run():
             async with open_world(route()) as world:
                 await world.add_endpoint("e1")
@@ -67,8 +67,8 @@
         story = story_of("old9", lines)
 
         assert status == 401
-        assert "no client account holds the API key in settings 6" in story.cause
-        assert any("put settings 6 in force" in text for text in story.sentences)
+        assert "no client account has the API key in settings 6" in story.cause
+        assert any("applied settings 6" in text for text in story.sentences)
         assert not any("key=" in line for line in lines)
 
     def test_request_while_all_zones_are_evacuated(self):
@@ -85,10 +85,10 @@
         story = story_of("none1", lines)
 
         assert status == 503
-        assert "zones that the operator empties; it has not run" in story.cause
-        assert any("sends nothing new to zone a" in text for text in story.sentences)
+        assert "zones that an operator evacuated; it has not run" in story.cause
+        assert any("sends no new requests to zone a" in text for text in story.sentences)
 
-    def test_request_that_ends_endpoints(self):
+    def test_request_that_terminates_endpoints(self):
         async def end(answer, writer, number):
             world.endpoints["e1"].server.close()
             reset(writer)
@@ -111,44 +111,46 @@
         story = story_of("bad2", lines)
 
         assert status == 503
-        assert "several endpoints ended while they had this request" in story.cause
-        ended = [text for text in story.sentences if "ended under this request" in text]
+        assert "several endpoints terminated while they had this request" in story.cause
+        ended = [text for text in story.sentences if "terminated while it had this request" in text]
         assert len(ended) == 3
-        assert any("keeps this request from being sent" in text for text in story.sentences)
+        assert any(
+            "quarantined this request and does not send it" in text for text in story.sentences
+        )
 
 
 class TestUnfinished:
-    """Guards against a host that lost power being told as a caller who left."""
+    """A host that lost power must not be reported as a caller that disconnected."""
 
     SENT = "time=2026-01-01T00:00:01+00:00 event=sent host=h1 request_id=q1 endpoint=e1"
 
     def cause(self, *lines):
         return story_of("q1", [self.SENT, *lines]).cause
 
-    def test_host_that_stays_silent(self):
+    def test_host_that_logs_nothing_more(self):
         other = "time=2026-01-01T00:00:09+00:00 event=started host=h2"
 
         assert "the log of h1 ends at 00:00:01" in self.cause(other)
 
-    def test_host_that_starts_anew(self):
+    def test_host_that_restarts(self):
         again = "time=2026-01-01T00:00:03+00:00 event=started host=h1"
 
-        assert "h1 started anew" in self.cause(again)
+        assert "h1 restarted" in self.cause(again)
 
-    def test_host_that_goes_on_without_a_line_of_its_end(self):
+    def test_host_that_keeps_running_without_logging_the_end(self):
         left_out = "time=2026-01-01T00:00:03+00:00 event=lines_left_out host=h1"
 
-        assert "not known" in self.cause(left_out)
+        assert "unknown: h1" in self.cause(left_out)
 
-    def test_caller_who_left(self):
+    def test_caller_that_disconnected(self):
         end = "time=2026-01-01T00:00:02+00:00 event=not_answered host=h1 request_id=q1 whole_ms=9"
 
-        assert self.cause(end) == "the caller left before its answer was whole"
+        assert self.cause(end) == "the caller disconnected before the response was whole"
 
 
 class TestParseLine:
     @pytest.mark.parametrize("text", ["", "Traceback (most recent call last):", "time=now event=x"])
-    def test_other_lines_are_passed_over(self, text):
+    def test_other_lines_are_ignored(self, text):
         assert parse_line(text) is None
 
     def test_quoted_values(self):
