--- a/src/beryljunction/cli/__init__.py
+++ b/src/beryljunction/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Console programs: thin command lines over objects that can be used alone."""
+"""Console programs: thin command lines over modules that are usable without them."""
--- a/src/beryljunction/cli/asking.py
+++ b/src/beryljunction/cli/asking.py
@@ -1,4 +1,4 @@
-"""What the commands that ask the fleet's processes have in common."""
+"""Helpers of the commands that query the processes of the fleet."""
 
 import contextlib
 import os
@@ -42,13 +42,13 @@
     command: Callable[[OperatorClient], Awaitable[int]],
     at: str = "",
 ) -> int:
-    """Run a command against the processes on the host list and return its exit code.
+    """Run a command with a client for the fleet's processes and return its exit code.
 
     Args:
         config: The operator's file.
-        hosts: Base URL of the list; empty for the one in the file.
-        command: What to ask; returns the exit code.
-        at: Addresses of processes, for which no list is needed.
+        hosts: Base URL of the host list; empty for the one in the operator's file.
+        command: Queries the processes and returns the exit code.
+        at: Addresses of processes; with these, no host list and no operator's file is needed.
     """
 
     async def run(file: OperatorFile) -> int:
@@ -67,10 +67,10 @@
 
 @contextlib.asynccontextmanager
 async def operator_client(file: OperatorFile) -> AsyncIterator[OperatorClient]:
-    """Open a client that shows the file's key, over TLS where the file names an authority.
+    """Open a client that sends the operator key, over TLS if the file names a CA certificate.
 
     Raises:
-        SettingsError: When the authority can't be read.
+        SettingsError: If the CA certificate can't be read.
     """
     try:
         tls = client_context(file.authority_path) if file.authority_path else None
@@ -82,7 +82,7 @@
 
 
 async def rows_of(client: OperatorClient, at: str) -> list[HostRow]:
-    """Return the processes at these addresses, or all on the host list when none is named."""
+    """Return rows for these comma-separated addresses, or the whole host list if there are none."""
     if not at:
         return await client.rows()
     addresses = [text.strip() for text in at.split(",")]
@@ -90,7 +90,7 @@
 
 
 def _operator_file(config: pathlib.Path, hosts: str, at: str) -> OperatorFile:
-    """Return the operator's file; with processes or a list named, it need not be there."""
+    """Return the operator's file; it may be missing if addresses or a host list are given."""
     if (hosts or at) and not config.exists():
         return OperatorFile("", "", hosts_address=hosts)
     file = load_file(config, OperatorFile)
@@ -98,7 +98,7 @@
 
 
 def print_failures(failures: Mapping[str, str]) -> int:
-    """Name the processes that did not answer; return the exit code."""
+    """Print the processes that did not answer and return the exit code."""
     for host, reason in sorted(failures.items()):
         print(f"{host}: {reason}", file=sys.stderr)
     return EXIT_PARTIAL if failures else EXIT_OK
--- a/src/beryljunction/cli/bench.py
+++ b/src/beryljunction/cli/bench.py
@@ -1,4 +1,4 @@
-"""beryl-bench: measures policy, relay and cost."""
+"""beryl-bench: measures the load balancing policy, the relays and what they cost."""
 
 import json as jsonlib
 import pathlib
@@ -34,17 +34,17 @@
 
 __all__ = ["main"]
 
-_JOURNAL = pathlib.Path("journal")
+_JOURNAL_DIR = pathlib.Path("journal")
 
 
 def relay(
     *, streams: int = 60, frame_ms: float = 20.0, duration_s: float = 8.0, json: bool = False
 ) -> int:
-    """Measure the CPU of a streamed frame against a bare one-hop relay.
+    """Measure the CPU time of relaying a streamed frame, compared with a bare one-hop relay.
 
-    :param streams: Open streams at each relay.
+    :param streams: Open streams on each relay.
     :param frame_ms: Milliseconds between two frames of a stream.
-    :param duration_s: Seconds over which CPU is counted.
+    :param duration_s: Seconds over which CPU time is measured.
     :param json: Print one JSON object instead of a table.
     """
     figures = anyio.run(measure_relay, RelayLoad(streams, frame_ms / 1000, duration_s))
@@ -60,9 +60,9 @@
 
 
 def settings(*, seed: int = 1, json: bool = False) -> int:
-    """Measure refusals among racing operators, and a node's bytes for following the settings.
+    """Measure how often concurrent changes conflict and the bytes a node reads to follow settings.
 
-    :param seed: Of the operators' draws.
+    :param seed: Seed of the simulated operators.
     :param json: Print one JSON object instead of a table.
     """
     day = [measure_races(2_100, 86_400.0, think_s, seed) for think_s in (0.3, 30.0, 300.0)]
@@ -78,7 +78,7 @@
         races = [attrs.asdict(shares) for shares in (*day, burst)]
         print(jsonlib.dumps({"races": races, **attrs.asdict(cost)}))
         return 0
-    print("changes  look to append  refused: base for each path  one base for the tree")
+    print("changes  read to append  refused: base for each path  one base for the tree")
     for shares in (*day, burst):
         print(f"{shares.changes:7}  {shares.think_s:12.1f} s", end="  ")
         print(f"{shares.per_path_refused_ratio:27.4f}", end="  ")
@@ -92,7 +92,7 @@
 
 
 def control(*, json: bool = False) -> int:
-    """Count the control traffic of a node at 5, 13, 100 and 1,050 nodes, in virtual time.
+    """Simulate the control traffic of a node in fleets of 5, 13, 100 and 1,050 nodes.
 
     :param json: Print one JSON object instead of a table.
     """
@@ -108,9 +108,9 @@
 def slopes(*, quick: bool = False, only: str = "", json: bool = False) -> int:
     """Measure how state, control traffic, CPU and memory grow, with real processes on loopback.
 
-    :param quick: Short windows, under a minute, several fleets at a time: a first look. Processor
-        times may be off by a factor of three, the memory of a sidecar's streams comes low.
-    :param only: Measure only subjects that hold this text, such as "frames" or "accounts".
+    :param quick: Measure for under a minute, several fleets at a time. CPU times may be off by a
+        factor of three, and the memory of a sidecar's streams comes out too low.
+    :param only: Measure only subjects that contain this text, such as "frames" or "accounts".
     :param json: Print one JSON object instead of a table.
     """
     print_slopes(measure_slopes(quick, only), json)
@@ -118,9 +118,9 @@
 
 
 def capacity(*, quick: bool = False) -> int:
-    """Measure the slopes and work out what each role costs at today's sizes and at the target.
+    """Measure growth and estimate what each role costs at the current and the target fleet sizes.
 
-    :param quick: Short windows, several fleets at a time; processor times are then off.
+    :param quick: Measure for less time, several fleets at a time; CPU times are then inaccurate.
     """
     slopes = measure_slopes(quick)
     print_slopes(slopes, as_json=False)
@@ -129,11 +129,11 @@
 
 
 def handover(*, chats: int = 90, seed: int = 1, json: bool = False) -> int:
-    """Measure returning chats after an endpoint leaves, without and with prefixes handed on.
+    """Measure returning chats after an endpoint shuts down, without and with prefix handover.
 
-    :param chats: Chats over three endpoints, one of which leaves.
-    :param seed: Of the moments at which they return.
-    :param json: Print one JSON object for each way.
+    :param chats: Number of chats on three endpoints, one of which shuts down.
+    :param seed: Seed of the times at which the chats return.
+    :param json: Print one JSON object for each of the two cases.
     """
     rows = [f.to_dict() for f in anyio.run(measure_handover, HandoverLoad(chats, seed=seed))]
     if json:
@@ -144,16 +144,16 @@
     return 0
 
 
-def ablation(*, journal: pathlib.Path = _JOURNAL, plot: pathlib.Path | None = None) -> int:
-    """Print what each mechanism is worth, from the journal entries of plays with it off.
+def ablation(*, journal: pathlib.Path = _JOURNAL_DIR, plot: pathlib.Path | None = None) -> int:
+    """Print the effect of each mechanism, from journal entries of runs with it switched off.
 
-    :param journal: Folder of journal entries.
-    :param plot: File for a picture of the differences; needs the extra "plots".
+    :param journal: Directory of journal entries.
+    :param plot: File for a plot of the differences; needs the extra "plots".
     """
     rows = ablation_bench.compare(ablation_bench.read_plays(journal))
     if not rows:
-        print(f"{journal}: expected plays with a mechanism off and all on, got none; see")
-        print("docs/ablation.md for how they are made")
+        print(f"{journal}: expected plays with a mechanism off and with all on, got none; see")
+        print("docs/ablation.md for how to record them")
         return 1
     print(ablation_bench.markdown(rows))
     if plot is not None:
@@ -161,10 +161,10 @@
     return 0
 
 
-def regression(*, journal: pathlib.Path = _JOURNAL) -> int:
-    """Compare the newest score of each deployment with the one before; exit 1 where one has lost.
+def regression(*, journal: pathlib.Path = _JOURNAL_DIR) -> int:
+    """Compare the newest score of each deployment with the previous one; exit 1 if one is worse.
 
-    :param journal: Folder of journal entries.
+    :param journal: Directory of journal entries.
     """
     found = changes(read_scores(journal))
     print(f"{'deployment':24} {'before':>7} {'now':>7}  rules broken")
@@ -176,7 +176,7 @@
     return int(any(row.has_lost for row in found))
 
 
-# Each measurement is a function here over a module of beryljunction.bench.
+# Each measurement is implemented in a module of beryljunction.bench.
 _BENCHES: list[Callable[..., int]] = [
     ablation,
     handover,
--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -1,4 +1,4 @@
-"""What the programs that run until a signal share."""
+"""Shared start-up of the programs that run until they get a signal."""
 
 import pathlib
 import sys
@@ -21,7 +21,7 @@
 
 
 def run_file(settings: pathlib.Path, kind: type[T], run: Callable[[T], Awaitable[object]]) -> int:
-    """Run what a settings file describes, until it ends, and return the exit code."""
+    """Load a settings file, call `run` with it and return the exit code."""
     try:
         anyio.run(run, load_file(settings, kind))
     except BerylError as error:
@@ -31,12 +31,12 @@
 
 
 def serve(settings: pathlib.Path, kind: type[F], make: Callable[[F, FleetView], Node]) -> int:
-    """Run a process until a signal and return its exit code.
+    """Run a process until it gets a signal and return its exit code.
 
     Args:
         settings: TOML process file.
-        kind: What the file holds.
-        make: Makes the process out of the file and the settings that it starts with.
+        kind: Class that the file is loaded into.
+        make: Creates the process from the file and its initial settings.
     """
 
     async def run(file: F) -> None:
@@ -49,9 +49,9 @@
 def run_daemon(command: Callable[[pathlib.Path], int]) -> NoReturn:
     """Run the command line of a program that takes one path.
 
-    The command line library reads docstrings by way of a whole text processor: 5 MB that a process
-    of months would hold for its first millisecond. So it is loaded only where it has something to
-    say, for ``--help`` and for a command line that is not one path.
+    defopt parses docstrings with a full text processor, which takes 5 MB of memory that a
+    long-running process would never free. It is therefore imported only for ``--help`` and for
+    command lines that are not a single path.
     """
     match sys.argv[1:]:
         case [path] if not path.startswith("-"):
--- a/src/beryljunction/cli/deploy.py
+++ b/src/beryljunction/cli/deploy.py
@@ -1,4 +1,4 @@
-"""beryl deploy: checks of how the fleet is deployed."""
+"""beryl deploy: checks the deploy file."""
 
 import pathlib
 import sys
@@ -9,13 +9,13 @@
 
 __all__ = ["COMMANDS", "check"]
 
-_FILE = pathlib.Path("deploy/system.toml")
+_DEPLOY_FILE = pathlib.Path("deploy/system.toml")
 
 
-def check(file: pathlib.Path = _FILE) -> int:
-    """Check the deploy file and show what runs where.
+def check(file: pathlib.Path = _DEPLOY_FILE) -> int:
+    """Check the deploy file and show which role runs on which hosts.
 
-    Exit codes: 0 it can be used, 2 it can't (each problem on standard error).
+    Exit codes: 0 the file is valid, 2 it is not (each problem on standard error).
 
     :param file: The deploy file.
     """
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -1,4 +1,4 @@
-"""beryl drain: have an endpoint take no new work."""
+"""beryl drain: stops an endpoint from accepting new requests."""
 
 import pathlib
 import sys
@@ -12,7 +12,7 @@
 
 __all__ = ["drain"]
 
-_ASK_S = 0.5
+_POLL_INTERVAL_S = 0.5
 
 
 def drain(
@@ -23,46 +23,46 @@
     undo: bool = False,
     wait: bool = False,
 ) -> int:
-    """Have an endpoint take no new work; what is in flight there ends as it would have.
+    """Stop an endpoint from accepting new requests; requests in flight there finish normally.
 
     Exit codes: 0 done, 1 the process did not answer, 2 no such endpoint, 4 the host list did not
-    answer. A drained sidecar that is started anew takes work again.
+    answer. A drained sidecar accepts requests again after a restart.
 
     :param endpoint: Endpoint id, or the name of a host.
     :param config: The operator's file.
     :param hosts: Base URL of the platform's host list, instead of the one in the file.
-    :param undo: Take work again.
-    :param wait: Return only when nothing is in flight any more.
+    :param undo: Accept requests again.
+    :param wait: Return only when no request is in flight there.
     """
 
     async def run(client: OperatorClient) -> int:
         rows = [row for row in await client.rows() if endpoint in (row.endpoint_id, row.host)]
         if not rows:
-            print(f"{endpoint}: expected an endpoint on the host list", file=sys.stderr)
+            print(f"{endpoint}: expected an endpoint id or host on the host list", file=sys.stderr)
             return EXIT_INVALID
         answers = await client.drain(rows[0], leaving=not undo)
         for node in answers.values.values():
-            print(_line_of(node))
+            print(_status_line(node))
         if wait and not undo and not answers.failures:
-            return await _wait(client, rows[0])
+            return await _wait_until_idle(client, rows[0])
         return print_failures(answers.failures)
 
     return ask_fleet(config, hosts, run)
 
 
-async def _wait(client: OperatorClient, row: HostRow) -> int:
+async def _wait_until_idle(client: OperatorClient, row: HostRow) -> int:
     while True:
         answers = await client.status([row])
         if answers.failures:
             return print_failures(answers.failures)
         node = answers.values[row.host]
         if node.running + node.waiting == 0:
-            print(_line_of(node))
+            print(_status_line(node))
             return EXIT_OK
-        await anyio.sleep(_ASK_S)
+        await anyio.sleep(_POLL_INTERVAL_S)
 
 
-def _line_of(node: NodeStatus) -> str:
+def _status_line(node: NodeStatus) -> str:
     name = node.endpoint_id or node.host
     state = node.not_ready or "ready"
     return f"{name}: {state}, {node.running} running, {node.waiting} waiting"
--- a/src/beryljunction/cli/entry.py
+++ b/src/beryljunction/cli/entry.py
@@ -1,4 +1,4 @@
-"""beryl-entry: takes callers."""
+"""beryl-entry: runs an entry, which accepts requests from callers."""
 
 import pathlib
 
@@ -10,10 +10,10 @@
 
 
 def entry(settings: pathlib.Path) -> int:
-    """Take callers and relay them to the endpoints of the fleet.
+    """Accept requests from callers and relay them to the endpoints of the fleet.
 
-    SIGTERM or SIGINT stops it once everything in flight has ended. Exit codes: 0 after a stop,
-    2 when the settings can't be used or an address is taken.
+    SIGTERM or SIGINT stops it once no request is in flight. Exit codes: 0 after such a stop,
+    2 if the settings are not valid or an address is in use.
 
     :param settings: TOML process file with a [process] table.
     """
--- a/src/beryljunction/cli/explain.py
+++ b/src/beryljunction/cli/explain.py
@@ -1,4 +1,4 @@
-"""beryl explain: the story of one request, from log files."""
+"""beryl explain: explains what happened to one request, from log files."""
 
 import pathlib
 import sys
@@ -10,12 +10,12 @@
 
 
 def explain(request_id: str, *logs: pathlib.Path) -> int:
-    """Tell what happened to a request, from the logs of any processes in any order.
+    """Explain what happened to a request, from the logs of any processes in any order.
 
-    Exit codes: 0 it was found, 1 no line names it, 2 a file can't be read.
+    Exit codes: 0 the request was found, 1 no line contains its id, 2 a file can't be read.
 
     :param request_id: Id that the caller sent with the request.
-    :param logs: Log files; lines that are no events are passed over.
+    :param logs: Log files; lines that are not events are ignored.
     """
     lines = []
     for path in logs:
@@ -29,7 +29,7 @@
     story = explain_request(request_id, lines)
     if story is None:
         message = f"{request_id}: expected a line with this request id, got none in {len(lines)}"
-        print(f"{message} events; give the logs of all entries", file=sys.stderr)
+        print(f"{message} events; pass the logs of all entries", file=sys.stderr)
         return 1
     print("\n".join(story.sentences))
     print(f"cause: {story.cause}")
--- a/src/beryljunction/cli/local.py
+++ b/src/beryljunction/cli/local.py
@@ -1,4 +1,4 @@
-"""beryl-local: the whole path on one machine."""
+"""beryl-local: runs a whole fleet on one host, with stand-ins for everything around it."""
 
 import itertools
 import pathlib
@@ -24,14 +24,14 @@
 
 
 def demo() -> int:
-    """Send returning chats and non-idempotent calls through a fleet; exit 1 on a broken promise."""
+    """Send chats and non-idempotent calls through a fleet; exit 1 if one was cut or run twice."""
     result = anyio.run(run_demo)
     print_demo(result)
     return 0 if result.kept_promises else 1
 
 
 def serve(*, endpoints: int = 2) -> int:
-    """Keep a fleet up for trying with curl, until interrupted.
+    """Run a fleet to try out with curl, until interrupted.
 
     :param endpoints: Endpoints of each service.
     """
@@ -43,10 +43,10 @@
 
 
 def platform() -> int:
-    """Keep the path on the users' platform up for trying with curl, until interrupted.
+    """Run an entry of the users' platform to try out with curl, until interrupted.
 
-    The store's stand-in, two endpoints of each of two services and an entry, in one process. The
-    log goes to standard output, what to try to standard error.
+    A stand-in of the store, two endpoints of each of two services and the entry run in one process.
+    The log goes to standard output, the example commands go to standard error.
     """
     try:
         anyio.run(serve_platform)
@@ -56,10 +56,10 @@
 
 
 def files(directory: pathlib.Path, *, first_port: int = 7400) -> int:
-    """Write the process files of a small fleet, for running it as separate processes.
+    """Write the process files of a small fleet that runs as separate processes.
 
-    :param directory: Where the files go; it is made if need be.
-    :param first_port: First of the loopback ports that the processes get.
+    :param directory: Directory for the files; it is created if it does not exist.
+    :param first_port: First of the consecutive loopback ports that the processes listen on.
     """
     directory.mkdir(parents=True, exist_ok=True)
     entries = write_files(directory, itertools.count(first_port), FleetPlan())
@@ -75,7 +75,7 @@
 
 
 def standins(settings: pathlib.Path) -> int:
-    """Run the host list and the endpoints of a fleet whose own processes run apart.
+    """Run the stand-ins of a fleet whose entries and sidecars run as separate processes.
 
     :param settings: TOML file that ``beryl-local files`` wrote.
     """
--- a/src/beryljunction/cli/mechanisms.py
+++ b/src/beryljunction/cli/mechanisms.py
@@ -1,4 +1,4 @@
-"""Shows which mechanisms of the entries' decisions the deploy file has switched on."""
+"""Shows which routing mechanisms of the entries are switched on in the deploy file."""
 
 import json as json_module
 import pathlib
@@ -12,15 +12,15 @@
 __all__ = ["DEPLOY_FILE", "MECHANISMS", "explain_mechanisms"]
 
 DEPLOY_FILE = pathlib.Path("deploy/system.toml")
-# Path under which the switches stand in what operators ask for.
+# Path prefix of the switches in the arguments of `beryl settings explain`.
 MECHANISMS = "mechanisms"
 
 
 def explain_mechanisms(path: str, deploy: pathlib.Path, json: bool) -> int:
-    """Print one switch or all, for each role, with where its value comes from.
+    """Print one switch or all of them, for each role, with the source of the value.
 
     Args:
-        path: "mechanisms", or that with the name of one behind a dot.
+        path: "mechanisms", or "mechanisms.NAME" for a single one.
         deploy: The deploy file.
         json: Print one JSON object a line.
     """
@@ -40,16 +40,16 @@
         print(f"{path}: expected the name of a mechanism, got {wanted!r}", file=sys.stderr)
         return EXIT_INVALID
     for role_name, row in rows:
-        print(_json(role_name, row) if json else _line(role_name, row, deploy))
+        print(_to_json(role_name, row) if json else _to_line(role_name, row, deploy))
     return EXIT_OK
 
 
-def _line(role_name: str, row: Mechanism, deploy: pathlib.Path) -> str:
+def _to_line(role_name: str, row: Mechanism, deploy: pathlib.Path) -> str:
     source = "default" if row.is_on else str(deploy)
     state = "on" if row.is_on else "off"
     return f"{MECHANISMS}.{row.name} = {state} ({role_name}, {source}): {row.guards}"
 
 
-def _json(role_name: str, row: Mechanism) -> str:
+def _to_json(role_name: str, row: Mechanism) -> str:
     values = {"role": role_name, "name": row.name, "on": row.is_on, "guards": row.guards}
     return json_module.dumps(values)
--- a/src/beryljunction/cli/operator.py
+++ b/src/beryljunction/cli/operator.py
@@ -1,4 +1,4 @@
-"""beryl: the operators' program; each subject keeps its commands in a module of its own."""
+"""beryl: the operators' program; the commands of each subject are in a separate module."""
 
 import sys
 
--- a/src/beryljunction/cli/platform_entry.py
+++ b/src/beryljunction/cli/platform_entry.py
@@ -12,9 +12,9 @@
 def main() -> int:
     """Run an entry with the settings file that the platform names.
 
-    Load: all hosts lose power, and callers wait until their processes are back. Imports make up
-    most of a start. Without the garbage collector looking through what they make, they take a
-    quarter less (213 to 160 ms); what was imported is left out of later collections for good.
+    Imports make up most of a start, and after a power failure of all hosts callers wait for it.
+    With the garbage collector off they take 160 ms instead of 213 ms. Imported objects are then
+    frozen, which excludes them from all later collections.
     """
     listener = listen_early(os.environ.get(CALLERS_VARIABLE, ""))
     gc.disable()
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -1,4 +1,4 @@
-"""beryl settings: look at the fleet's tree of settings and change it.
+"""beryl settings: shows and changes the fleet's tree of settings.
 
 Exit codes: 0 done, 1 refused or different, 2 not valid, 3 outcome unknown, 4 the log is down.
 """
@@ -36,11 +36,11 @@
 
 __all__ = ["COMMANDS"]
 
-_ASK_S = 0.25
+_POLL_INTERVAL_S = 0.25
 
 
 def validate(tree: pathlib.Path, *, json: bool = False) -> int:
-    """Check a TOML tree of settings in full, without the log.
+    """Validate a TOML tree of settings, without connecting to the log.
 
     :param tree: TOML file with the tree.
     :param json: Print one JSON object.
@@ -57,7 +57,7 @@
 
 
 def diff(tree: pathlib.Path, *, config: pathlib.Path = CONFIG, json: bool = False) -> int:
-    """Show how a TOML tree differs from what is in force; exit 1 when it does.
+    """Show how a TOML tree differs from the settings in force; exit 1 if it does.
 
     :param tree: TOML file with the tree.
     :param config: The operator's file.
@@ -80,7 +80,7 @@
 
 
 def get(*paths: str, config: pathlib.Path = CONFIG, json: bool = False) -> int:
-    """Show the values in force at paths, inherited or not; without a path the tree as TOML.
+    """Show the values in force at paths, set there or inherited; without paths the tree as TOML.
 
     :param paths: For example region.gj-west.service.drafter.max_running.
     :param config: The operator's file.
@@ -93,7 +93,7 @@
             version = desk.session.reader.version
             say(json, {"version": version, "tree": tables}, tomli_w.dumps(tables).rstrip())
             return EXIT_OK
-        values = {path: _origin_of(desk, path).value for path in paths}
+        values = {path: _find_origin(desk, path).value for path in paths}
         say(json, {"values": values}, *map(value_text, values.values()))
         return EXIT_OK
 
@@ -109,18 +109,18 @@
 ) -> int:
     """Show where the value in force at a path comes from.
 
-    :param path: For example region.gj-west.service.drafter.max_running; mechanisms, or one of them
-        such as mechanisms.fetch, for what entries on the platform have switched on.
+    :param path: For example region.gj-west.service.drafter.max_running; "mechanisms", or one of
+        them such as mechanisms.fetch, for what is switched on in entries on the platform.
     :param config: The operator's file.
-    :param deploy: The deploy file, which switches mechanisms.
+    :param deploy: The deploy file, which switches mechanisms on and off.
     :param json: Print one JSON object.
     """
     if path == MECHANISMS or path.startswith(f"{MECHANISMS}."):
         return explain_mechanisms(path, deploy, json)
 
     async def run(desk: Desk) -> int:
-        origin = _origin_of(desk, path)
-        rows = _origin_rows(desk, path, origin)
+        origin = _find_origin(desk, path)
+        rows = _rows_of_origin(desk, path, origin)
         lines = [f"{path} = {value_text(origin.value)}", *(origin_line(row) for row in rows)]
         say(json, {"path": path, "value": origin.value, "origins": rows}, *lines)
         return EXIT_OK
@@ -131,12 +131,12 @@
 def history(
     *, id: str = "", limit: int = 20, config: pathlib.Path = CONFIG, json: bool = False
 ) -> int:
-    """Show the changes that the log still keeps and what became of each.
+    """Show the changes that the log still keeps and the outcome of each.
 
-    With --id the exit code is 1 when the change is not on the log.
+    With --id the exit code is 1 if the change is not in the log.
 
-    :param id: Show this change only; this is how an unknown outcome is found out.
-    :param limit: Most changes shown, the newest.
+    :param id: Show only this change, for example to find out an unknown outcome.
+    :param limit: Show at most this many changes, the newest ones.
     :param config: The operator's file.
     :param json: Print one JSON object.
     """
@@ -158,9 +158,9 @@
 
 
 def watch(*, for_s: float = 0.0, config: pathlib.Path = CONFIG, json: bool = False) -> int:
-    """Print each change as it is judged, until interrupted.
+    """Print each new change and whether it was accepted, until interrupted.
 
-    :param for_s: End after so many seconds; 0 does not end.
+    :param for_s: End after this many seconds; 0 for no end.
     :param config: The operator's file.
     :param json: Print one JSON object for each change.
     """
@@ -169,12 +169,12 @@
         reader = desk.session.reader
         end_s = time.monotonic() + (for_s or float("inf"))
         while time.monotonic() < end_s:
-            seen = reader.version
+            last_version = reader.version
             if not await desk.session.look():
                 return print_log_down(json)
-            for judged in [j for j in reader.history if j.offset > seen]:
+            for judged in [j for j in reader.history if j.offset > last_version]:
                 say(json, judged_row(judged), judged_line(judged))
-            await anyio.sleep(_ASK_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
         return EXIT_OK
 
     return with_session(config, run, json)
@@ -192,11 +192,11 @@
 }
 
 
-def _origin_of(desk: Desk, text: str) -> Origin:
+def _find_origin(desk: Desk, text: str) -> Origin:
     """Return the value in force and where it was set.
 
     Raises:
-        SettingsError: When the path does not exist.
+        SettingsError: If the path does not exist.
     """
     try:
         path = parse_path(text)
@@ -213,7 +213,7 @@
     return origin if origin is not None else Origin(rule.default, None)
 
 
-def _origin_rows(desk: Desk, text: str, origin: Origin) -> list[dict[str, Any]]:
+def _rows_of_origin(desk: Desk, text: str, origin: Origin) -> list[dict[str, Any]]:
     field = parse_path(text).field
     rows: list[dict[str, Any]] = []
     for scope in (origin.scope, *origin.overridden):
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -1,4 +1,4 @@
-"""beryl settings set and unset: publish a change and say truly what became of it."""
+"""beryl settings set and unset: publish a change and report its outcome."""
 
 import pathlib
 import time
@@ -20,7 +20,7 @@
 __all__ = ["set_", "unset"]
 
 _IN_FORCE_S = 9.0
-_ASK_S = 0.25
+_POLL_INTERVAL_S = 0.25
 
 
 def set_(
@@ -30,17 +30,17 @@
     config: pathlib.Path = CONFIG,
     json: bool = False,
 ) -> int:
-    """Publish values, all of them or none.
+    """Set values in one change, which takes effect as a whole or not at all.
 
-    :param assignments: PATH=VALUE, with the value in TOML; a bare word is a string.
-    :param file: TOML tree whose values are set too; what it leaves out stays.
-    :param note: Why, for the history.
+    :param assignments: PATH=VALUE, with the value in TOML; an unquoted word is a string.
+    :param file: TOML tree whose values are set as well; other paths keep their values.
+    :param note: Reason for the change, shown in the history.
     :param config: The operator's file.
     :param json: Print one JSON object.
     """
 
     async def run(desk: Desk) -> int:
-        edits, problems = _edits_of(assignments, file, desk.session.reader.tree.values())
+        edits, problems = _parse_edits(assignments, file, desk.session.reader.tree.values())
         if problems:
             return print_problems(problems, json)
         if not edits:
@@ -52,10 +52,10 @@
 
 
 def unset(*paths: str, note: str = "", config: pathlib.Path = CONFIG, json: bool = False) -> int:
-    """Let paths inherit again, all of them or none.
+    """Unset paths in one change, so that they inherit again; all of them or none.
 
-    :param paths: Paths, or scopes such as service.drafter for everything below them.
-    :param note: Why, for the history.
+    :param paths: Paths, or scopes such as service.drafter for all paths below them.
+    :param note: Reason for the change, shown in the history.
     :param config: The operator's file.
     :param json: Print one JSON object.
     """
@@ -82,15 +82,15 @@
 
 
 async def _print_in_force(desk: Desk, answer: InForce, json: bool) -> None:
-    """Say on how many nodes the change is in force; waits for the last for some seconds."""
-    began_s = time.monotonic()
+    """Print on how many nodes the change is in force, after waiting a few seconds for all."""
+    started_s = time.monotonic()
     while True:
         versions = await desk.versions()
         reached = [n for n, v in versions.items() if v is not None and v >= answer.version]
-        waited_s = time.monotonic() - began_s
+        waited_s = time.monotonic() - started_s
         if len(reached) == len(versions) or waited_s > _IN_FORCE_S:
             break
-        await anyio.sleep(_ASK_S)
+        await anyio.sleep(_POLL_INTERVAL_S)
     missing = sorted(versions.keys() - set(reached))
     data = {
         "outcome": "accepted",
@@ -108,7 +108,7 @@
     say(json, data, *lines)
 
 
-def _edits_of(
+def _parse_edits(
     assignments: tuple[str, ...], file: pathlib.Path | None, present: dict[Path, Any]
 ) -> tuple[tuple[Edit, ...], list[str]]:
     wanted: dict[Path, Any] = {}
@@ -116,19 +116,19 @@
     if file is not None:
         wanted, problems = leaves_of(load_toml(file))
     for text in assignments:
-        name, sign, value = text.partition("=")
+        name, separator, value = text.partition("=")
         try:
             path = parse_path(name.strip())
         except ValueError as error:
             problems.append(str(error))
             continue
-        if not sign:
+        if not separator:
             problems.append(f"{text}: expected PATH=VALUE")
-        wanted[path] = _value_of(value.strip())
+        wanted[path] = _parse_value(value.strip())
     return edits_between(present, {**present, **wanted}), problems
 
 
-def _value_of(text: str) -> Any:
+def _parse_value(text: str) -> Any:
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -1,4 +1,4 @@
-"""What the commands over the settings work with."""
+"""Session with the settings log that the settings commands run in."""
 
 import pathlib
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,11 @@
 
 @attrs.frozen
 class Desk:
-    """What a command works with."""
+    """The operator's file and the clients that a settings command uses.
+
+    Attributes:
+        fleet: Client of the processes on the host list; None if the file names no host list.
+    """
 
     file: OperatorFile
     session: OperatorSession
@@ -30,7 +34,7 @@
     fleet: OperatorClient | None
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force at each process of the host list and each node named."""
+        """Return the version in force at each process on the host list or in the operator's file."""
         versions = await self.nodes.versions()
         if self.fleet is None:
             return versions
@@ -38,7 +42,7 @@
             rows = await self.fleet.rows()
         except PlatformUnavailableError:
             return versions
-        # A node that is named in the file and listed too is one node.
+        # A node that is both in the file and on the host list counts once.
         listed = {row.address for row in rows}
         versions = {node: version for node, version in versions.items() if node not in listed}
         answers = await self.fleet.status(rows)
@@ -52,7 +56,7 @@
     json: bool,
     look: bool = True,
 ) -> int:
-    """Run a command over the log; what is in force has been read before it starts."""
+    """Run a command over the settings log; with `look`, the settings in force are read first."""
 
     async def run() -> int:
         file = load_file(config, OperatorFile)
--- a/src/beryljunction/cli/settings_output.py
+++ b/src/beryljunction/cli/settings_output.py
@@ -1,4 +1,4 @@
-"""What beryl settings prints: rows for JSON, lines for people."""
+"""Output of beryl settings, as JSON or as text."""
 
 import json as jsonlib
 import sys
@@ -39,10 +39,12 @@
 def print_not_in_force(
     answer: PublishAnswer, base: int, edits: tuple[Edit, ...], json: bool
 ) -> int:
-    """Print an answer other than "accepted"; return the exit code."""
+    """Print the outcome of a change that was not accepted and return the exit code."""
     if isinstance(answer, Lost):
-        own = {edit.path: None if edit.unset else edit.value for edit in edits}
-        rows = [{**attrs.asdict(c), "yours": own.get(c.path)} for c in answer.verdict.conflicts]
+        own_values = {edit.path: None if edit.unset else edit.value for edit in edits}
+        rows = [
+            {**attrs.asdict(c), "yours": own_values.get(c.path)} for c in answer.verdict.conflicts
+        ]
         lines = [f"refused: {answer.verdict.reason} {base}; nothing of the change is in force"]
         lines += [
             f"  {r['path']}: {r['operator']} set {value_text(r['value'])} "
@@ -50,7 +52,7 @@
             f"{value_text(r['yours'])}"
             for r in rows
         ]
-        lines.append("look at what is in force now and publish again if you still want it")
+        lines.append("check what is in force now and publish again if the change is still wanted")
         data = {"outcome": "refused", "reason": answer.verdict.reason, "conflicts": rows}
         say(json, {**data, "change_id": answer.change_id}, *lines)
         return EXIT_REFUSED
@@ -69,13 +71,13 @@
 
 
 def edit_row(edit: Edit, present: dict[Path, Any]) -> dict[str, Any]:
-    """Return an edit as old and new value."""
+    """Return the path of an edit with its old and its new value."""
     new = None if edit.unset else edit.value
     return {"path": edit.path, "old": present.get(parse_path(edit.path)), "new": new}
 
 
 def judged_row(judged: Judged) -> dict[str, Any]:
-    """Return a record and the verdict on it."""
+    """Return a record of the log and its outcome as a JSON object."""
     outcome = type(judged.verdict).__name__.lower()
     row: dict[str, Any] = {"version": judged.offset, "change_id": judged.change_id}
     row["outcome"] = outcome
@@ -91,7 +93,7 @@
 
 
 def judged_line(judged: Judged) -> str:
-    """Return the same for a person."""
+    """Return a record of the log and its outcome as one line of text."""
     row = judged_row(judged)
     edits = [
         f"{e['path']} unset" if e["unset"] else f"{e['path']}={value_text(e['value'])}"
@@ -106,7 +108,7 @@
 
 
 def origin_line(row: dict[str, Any]) -> str:
-    """Return where a value was set, for a person."""
+    """Return a line of text on where a value was set."""
     if "version" not in row:
         return f"  {row['scope']}: {value_text(row['value'])}"
     who = f"set by {row['operator']} in version {row['version']} (change {row['change_id']})"
@@ -114,7 +116,7 @@
 
 
 def tables_of(values: dict[Path, Any]) -> dict[str, Any]:
-    """Return leaves as nested tables, ready for TOML."""
+    """Return values as nested tables that can be written as TOML."""
     tables: dict[str, Any] = {}
     for path, value in values.items():
         *parents, name = str(path).split(".")
@@ -126,19 +128,19 @@
 
 
 def value_text(value: Any) -> str:
-    """Return a value for a person."""
+    """Return a value as text."""
     return "unset" if value is None else jsonlib.dumps(value)
 
 
 def print_log_down(json: bool) -> int:
-    """Print that the log does not answer; return the exit code."""
+    """Print that the log does not answer and return the exit code."""
     text = "the log does not answer; nothing was changed, settings in force stay in force"
     say(json, {"outcome": "log_down"}, text)
     return EXIT_LOG_DOWN
 
 
 def print_problems(problems: list[str], json: bool) -> int:
-    """Print what is not valid, one line each; return the exit code."""
+    """Print validation errors, one line each, and return the exit code."""
     if json:
         print(jsonlib.dumps({"outcome": "invalid", "problems": problems}))
     else:
@@ -147,5 +149,5 @@
 
 
 def say(json: bool, data: dict[str, Any], *lines: str) -> None:
-    """Print one JSON object or lines for a person."""
+    """Print `data` as one JSON object, or else the lines of text."""
     print(jsonlib.dumps(data) if json else "\n".join(lines))
--- a/src/beryljunction/cli/sidecar.py
+++ b/src/beryljunction/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""beryl-sidecar: stands beside one endpoint."""
+"""beryl-sidecar: runs the sidecar of one endpoint."""
 
 import pathlib
 
@@ -10,10 +10,10 @@
 
 
 def sidecar(settings: pathlib.Path) -> int:
-    """Admit, queue and relay the work of one endpoint.
+    """Admit, queue and relay the requests of one endpoint.
 
-    SIGTERM or SIGINT stops it once everything in flight has ended. Exit codes: 0 after a stop,
-    2 when the settings can't be used or an address is taken.
+    SIGTERM or SIGINT stops it once no request is in flight. Exit codes: 0 after such a stop,
+    2 if the settings are not valid or an address is in use.
 
     :param settings: TOML process file with a [process] table, endpoint_id and endpoint_address.
     """
--- a/src/beryljunction/cli/status.py
+++ b/src/beryljunction/cli/status.py
@@ -1,4 +1,4 @@
-"""beryl status: what each process of the fleet says of itself."""
+"""beryl status: shows the state of each process of the fleet."""
 
 import json as json_module
 import pathlib
@@ -32,14 +32,14 @@
 def status(
     *, config: pathlib.Path = CONFIG, hosts: str = "", at: str = "", json: bool = False
 ) -> int:
-    """Show for each process its state, the versions that it has and its load.
+    """Show the state, the data versions and the load of each process.
 
     Exit codes: 0 all processes answered, 1 some did not (named on standard error), 4 the host
     list did not answer.
 
     :param config: The operator's file.
     :param hosts: Base URL of the platform's host list, instead of the one in the file.
-    :param at: Addresses of processes with commas between them, IP:PORT, instead of a host list.
+    :param at: Comma-separated addresses of processes, IP:PORT, instead of a host list.
     :param json: Print one JSON object a line.
     """
 
@@ -50,21 +50,21 @@
             for node in nodes:
                 print(json_module.dumps(attrs.asdict(node)))
         else:
-            print_table([_COLUMNS, *(_row_of(node) for node in nodes)])
+            print_table([_COLUMNS, *(_table_row(node) for node in nodes)])
         return print_failures(answers.failures)
 
     return ask_fleet(config, hosts, run, at)
 
 
 def print_table(rows: list[tuple[str, ...]]) -> None:
-    """Print rows in columns as wide as their widest value."""
+    """Print rows as a table whose columns are as wide as their widest value."""
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     for row in rows:
         line = "  ".join(value.ljust(width) for value, width in zip(row, widths, strict=True))
         print(line.rstrip())
 
 
-def _row_of(node: NodeStatus) -> tuple[str, ...]:
+def _table_row(node: NodeStatus) -> tuple[str, ...]:
     return (
         node.host,
         node.availability_zone,
--- a/src/beryljunction/cli/timeline.py
+++ b/src/beryljunction/cli/timeline.py
@@ -1,4 +1,4 @@
-"""beryl timeline: events of all processes in one order."""
+"""beryl timeline: shows the events of all processes in causal order."""
 
 import datetime
 import json as json_module
@@ -22,16 +22,16 @@
     last: int = 200,
     json: bool = False,
 ) -> int:
-    """Show the events of all processes in the order in which they can have caused each other.
+    """Show the events of all processes in causal order.
 
     Exit codes: 0 all processes answered, 1 some did not (named on standard error), 4 the host
     list did not answer.
 
     :param config: The operator's file.
     :param hosts: Base URL of the platform's host list, instead of the one in the file.
-    :param at: Addresses of processes with commas between them, IP:PORT, instead of a host list.
-    :param request: Only this request; its id is in the answer's beryl-request-id header.
-    :param last: Newest events to show.
+    :param at: Comma-separated addresses of processes, IP:PORT, instead of a host list.
+    :param request: Show only this request; its id is in the beryl-request-id response header.
+    :param last: Number of newest events to show.
     :param json: Print one JSON object a line.
     """
 
@@ -45,7 +45,7 @@
 
 
 def line_of(event: Event) -> str:
-    """Return an event as a line that a person reads."""
+    """Return an event as a line of text."""
     moment = datetime.datetime.fromtimestamp(event.wall_ms / 1000, datetime.UTC)
     time = f"{moment:%Y-%m-%dT%H:%M:%S}.{event.wall_ms % 1000:03}.{event.logical:<3}"
     where = f"{event.host} ({event.availability_zone})"
