--- a/src/beryljunction/local/__init__.py
+++ b/src/beryljunction/local/__init__.py
@@ -1,4 +1,4 @@
-"""The whole path on one machine, for newcomers, demos and tests."""
+"""Runs a whole fleet on one host, for newcomers, demos and tests."""
 
 from beryljunction.local.demo import DemoResult, print_demo, run_demo
 from beryljunction.local.demo_view import DEMO_KEY, demo_view
--- a/src/beryljunction/local/demo.py
+++ b/src/beryljunction/local/demo.py
@@ -1,4 +1,4 @@
-"""The main job in one run: returning chats and non-idempotent calls while endpoints go."""
+"""Demo: sends returning chats and non-idempotent calls while endpoints are replaced."""
 
 import collections
 import json
@@ -17,32 +17,35 @@
 __all__ = ["DemoResult", "print_demo", "run_demo"]
 
 _MODELS = ("reel-llm", "drafter")
-_NOTES = "ledger"
+_PLAIN_SERVICE = "ledger"
 _ENTRIES = 2
-_ENDPOINTS = 3
+_ENDPOINTS_PER_SERVICE = 3
 _CHATS = 16
-_TURNS = 10
+_TURNS_PER_CHAT = 10
 _CALLS = 80
 _PROMPT_CHARS = 8_000
 _TURN_CHARS = 400
 _ANSWER_TOKENS = 20
-# Chats pause between turns, as people do; the whole of it spans the leaving and the return.
-_THINK_S = 0.6
-_CALL_EVERY_S = 0.12
-_CALL_S = 0.3
-_QUIET_S = 1.5
+# Pause between the turns of a chat; long enough that the chats span the replacement of endpoints.
+_TURN_PAUSE_S = 0.6
+_CALL_INTERVAL_S = 0.12
+_CALL_WORK_S = 0.3
+_REPLACE_AFTER_S = 1.5
 _HEADERS = [("authorization", f"Bearer {DEMO_KEY}"), ("content-type", "application/json")]
 
 
 @attrs.define
 class DemoResult:
-    """What the callers of the demo saw.
+    """What the callers of the demo received.
 
     Attributes:
+        returning: Turns after the first of a chat that were answered whole.
+        found_warm: Those of them that found a part of their prompt cached.
         calls: Non-idempotent calls that were sent.
-        runs: Runs of those calls, over all endpoints that were ever there.
-        double_runs: Runs beyond the first of a call, told apart by what the caller sent.
-        broken: What callers got that was neither whole nor a true refusal.
+        runs: Runs of those calls on all endpoints, including replaced ones.
+        double_runs: Runs of a call after its first; calls are identified by their bodies.
+        refusals: Error responses stating that the request has not run.
+        broken: One line for each response that was neither whole nor such a refusal.
     """
 
     answers_total: int = 0
@@ -58,17 +61,17 @@
 
     @property
     def cut_in_flight(self) -> int:
-        """Answers that callers neither got whole nor were refused with a "not run"."""
+        """Number of requests with neither a whole response nor a refusal that says "not run"."""
         return self.answers_total - self.answers_whole - self.refusals
 
     @property
     def found_warm_ratio(self) -> float:
-        """Share of returning turns that found their prefix cached."""
+        """Share of returning turns that found their prefix cached, from 0 to 1."""
         return self.found_warm / max(1, self.returning)
 
     @property
     def kept_promises(self) -> bool:
-        """Whether nothing was cut or run twice."""
+        """Whether no response was cut and no call ran twice."""
         return self.cut_in_flight == 0 and self.double_runs == 0
 
     def to_json(self) -> str:
@@ -85,37 +88,40 @@
 
 
 async def run_demo() -> DemoResult:
-    """Start a fleet, send the work, take endpoints away under it and bring them back."""
+    """Start a fleet and send requests to it while endpoints are shut down and replaced."""
     result = DemoResult()
     async with anyio.create_task_group() as group, client_pool() as pool:
         fleet = LocalFleet(group, demo_view())
         for service in fleet.view.services:
-            for number in range(_ENDPOINTS):
+            for number in range(_ENDPOINTS_PER_SERVICE):
                 await fleet.add_endpoint(f"{service}-{number}", service)
         for _ in range(_ENTRIES):
             await fleet.add_entry()
         await fleet.settle()
         for plain in fleet.plain_services:
-            plain.work_s = _CALL_S
-        await _work(_Callers(pool, fleet, result))
+            plain.work_s = _CALL_WORK_S
+        await _send_requests(_Callers(pool, fleet, result))
         _count_runs(fleet, result)
         await fleet.close()
         group.cancel_scope.cancel()
     return result
 
 
-async def _work(callers: "_Callers") -> None:
+async def _send_requests(callers: "_Callers") -> None:
     async with anyio.create_task_group() as group:
         for number in range(_CHATS):
             group.start_soon(callers.chat, number)
         group.start_soon(callers.calls, group)
-        await anyio.sleep(_QUIET_S)
-        for endpoint_id, service in (("drafter-1", "drafter"), (f"{_NOTES}-1", _NOTES)):
-            group.start_soon(_replace, callers.fleet, endpoint_id, service)
+        await anyio.sleep(_REPLACE_AFTER_S)
+        for endpoint_id, service in (
+            ("drafter-1", "drafter"),
+            (f"{_PLAIN_SERVICE}-1", _PLAIN_SERVICE),
+        ):
+            group.start_soon(_replace_endpoint, callers.fleet, endpoint_id, service)
 
 
-async def _replace(fleet: LocalFleet, endpoint_id: str, service: str) -> None:
-    """Take an endpoint away while it works, and bring another up in its slot."""
+async def _replace_endpoint(fleet: LocalFleet, endpoint_id: str, service: str) -> None:
+    """Remove an endpoint while it has requests in flight and start another under the same id."""
     await fleet.take_away(endpoint_id)
     await fleet.add_endpoint(endpoint_id, service)
 
@@ -129,7 +135,7 @@
 
 
 class _Callers:
-    """The users' clients; each request goes to the next entry, as behind a balancer."""
+    """Sends requests to the entries in turn, as a load balancer would."""
 
     def __init__(
         self, pool: httpcore.AsyncConnectionPool, fleet: LocalFleet, result: DemoResult
@@ -140,9 +146,9 @@
         self._sent = 0
 
     async def chat(self, number: int) -> None:
-        """Come back to one chat again and again."""
+        """Send the turns of one chat, each with the whole conversation so far."""
         prompt = f"dossier {number} " + "x" * _PROMPT_CHARS
-        for turn in range(_TURNS):
+        for turn in range(_TURNS_PER_CHAT):
             prompt += f" turn {turn} " + "y" * _TURN_CHARS
             body = {
                 "model": _MODELS[number % len(_MODELS)],
@@ -151,20 +157,20 @@
                 "prompt_cache_key": f"chat-{number}",
                 "messages": [{"role": "user", "content": prompt}],
             }
-            await self._ask(json.dumps(body).encode(), is_returning=turn > 0)
-            await anyio.sleep(_THINK_S)
+            await self._send_turn(json.dumps(body).encode(), is_returning=turn > 0)
+            await anyio.sleep(_TURN_PAUSE_S)
 
     async def calls(self, group: anyio.abc.TaskGroup) -> None:
-        """Send calls that must not run twice, each with a body of its own."""
+        """Send calls that must not run twice, each with a unique body."""
         for number in range(_CALLS):
             group.start_soon(self._call, number)
-            await anyio.sleep(_CALL_EVERY_S)
+            await anyio.sleep(_CALL_INTERVAL_S)
 
     async def _call(self, number: int) -> None:
         result = self._result
         result.answers_total += 1
         result.calls += 1
-        url = f"{self._entry()}/services/{_NOTES}/notes"
+        url = f"{self._next_entry()}/services/{_PLAIN_SERVICE}/notes"
         body = json.dumps({"disbursement": number}).encode()
         try:
             response = await self._pool.request("POST", url, headers=_HEADERS, content=body)
@@ -174,12 +180,12 @@
         if response.status == 200:
             result.answers_whole += 1
         else:
-            self._refused(response.content)
+            self._record_refusal(response.content)
 
-    async def _ask(self, body: bytes, is_returning: bool) -> None:
+    async def _send_turn(self, body: bytes, is_returning: bool) -> None:
         result = self._result
         result.answers_total += 1
-        url = f"{self._entry()}/v1/chat/completions"
+        url = f"{self._next_entry()}/v1/chat/completions"
         started_s = time.monotonic()
         data = b""
         try:
@@ -192,11 +198,11 @@
             result.broken.append(f"chat: {type(error).__name__}")
             return
         if response.status == 200:
-            self._answered(data, is_returning)
+            self._record_response(data, is_returning)
         else:
-            self._refused(data)
+            self._record_refusal(data)
 
-    def _answered(self, data: bytes, is_returning: bool) -> None:
+    def _record_response(self, data: bytes, is_returning: bool) -> None:
         result = self._result
         events = [line[6:] for line in data.split(b"\n") if line.startswith(b"data: ")]
         if len(events) != _ANSWER_TOKENS + 1 or events[-1] != b"[DONE]":
@@ -208,29 +214,29 @@
             result.returning += 1
             result.found_warm += cached > 0
 
-    def _refused(self, data: bytes) -> None:
-        """Count a refusal; one that can't say "not run" is an answer that was cut."""
+    def _record_refusal(self, data: bytes) -> None:
+        """Count a refusal; an error that does not say "not run" counts as a broken response."""
         error = json.loads(data)["error"]
         if error["ran"] == "no":
             self._result.refusals += 1
         else:
             self._result.broken.append(f"{error['code']}: {error['message']}")
 
-    def _entry(self) -> str:
+    def _next_entry(self) -> str:
         self._sent += 1
         return self.fleet.entries[self._sent % len(self.fleet.entries)]
 
 
 def print_demo(result: DemoResult) -> None:
-    """Print the table that a person reads, then one JSON object."""
+    """Print the results as a table, then as one JSON object."""
     first_ms = sorted(value * 1000 for value in result.first_token_s)
     p95_ms = first_ms[int(0.95 * (len(first_ms) - 1))]
-    warm = f"{result.found_warm} of {result.returning} ({result.found_warm_ratio:.0%})"
+    cached_text = f"{result.found_warm} of {result.returning} ({result.found_warm_ratio:.0%})"
     rows = [
-        ("answers whole", f"{result.answers_whole} of {result.answers_total}"),
-        ("returning turns found warm", warm),
+        ("responses whole", f"{result.answers_whole} of {result.answers_total}"),
+        ("returning turns, prefix cached", cached_text),
         ("time to first token, median", f"{statistics.median(first_ms):.0f} ms"),
-        ("time to first token, 95 in 100", f"{p95_ms:.0f} ms"),
+        ("time to first token, p95", f"{p95_ms:.0f} ms"),
         ("runs of non-idempotent calls", f"{result.runs} of {result.calls} calls"),
         ("non-idempotent calls run twice", str(result.double_runs)),
         ("refused, not run", str(result.refusals)),
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_view.py
@@ -1,4 +1,4 @@
-"""Settings of the fleets that newcomers and tests run on loopback."""
+"""Settings of the fleets that the demo and the tests run on loopback."""
 
 import hashlib
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
 
 def demo_view() -> FleetView:
-    """Return the settings of the demo: a model service of each user and a plain service."""
+    """Return the settings of the demo: two model services and a plain service."""
     digest = hashlib.sha256(DEMO_KEY.encode()).hexdigest()
     return FleetView(
         services={
@@ -42,7 +42,7 @@
 
 
 def leaves_of_view(view: FleetView) -> dict[str, Any]:
-    """Return a view as paths and values of the tree, without defaults but for a service's kind."""
+    """Return the paths and values of a view; values at their default are omitted, except `kind`."""
     groups: dict[str, Mapping[str, Any]] = {"service": view.services, "account": view.accounts}
     return {
         f"{level}.{name}.{field.name}": _plain(getattr(row, field.name))
@@ -54,10 +54,10 @@
 
 
 async def publish_leaves(log: LogClient, leaves: dict[str, Any]) -> None:
-    """Publish settings on a log as an operator would.
+    """Publish settings to a log, as an operator does.
 
     Raises:
-        SettingsError: When they are not valid.
+        SettingsError: If the settings are not valid.
     """
     session = OperatorSession(log, DEMO_OPERATOR)
     await session.look()
--- a/src/beryljunction/local/files.py
+++ b/src/beryljunction/local/files.py
@@ -1,4 +1,4 @@
-"""Process files of a small fleet on loopback, for running it as separate processes."""
+"""Writes the process files of a small fleet that runs as separate processes on loopback."""
 
 import pathlib
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class StandInEndpoint:
-    """A stand-in engine or plain service and where it listens."""
+    """A stand-in engine or plain service and its listen address."""
 
     kind: str
     listen: str
@@ -38,13 +38,13 @@
 
 @attrs.frozen
 class StandInsFile:
-    """What ``beryl-local standins`` runs.
+    """Settings file of ``beryl-local standins``.
 
     Attributes:
-        hosts_listen: IP address and port of the host list.
-        log_listen: IP address and port of the log.
-        hosts: Rows that the host list starts with.
-        settings: Settings that the log starts with, by path.
+        hosts_listen: IP address and port that the host list listens on.
+        log_listen: IP address and port that the settings log listens on.
+        hosts: Initial rows of the host list.
+        settings: Initial settings in the log, by path.
     """
 
     hosts_listen: str
@@ -56,44 +56,46 @@
 
 @attrs.frozen
 class FleetPlan:
-    """How many processes of each kind there are; ``endpoints`` counts those of each service."""
+    """Number of processes of each kind; ``endpoints`` is the number for each service."""
 
     entries: int = 2
     endpoints: int = 3
 
 
-class _Writer:
-    """Gives each process its ports and collects the rows of the host list."""
+class _FleetFileWriter:
+    """Assigns ports, writes the process files and collects the rows of the host list."""
 
     def __init__(self, directory: pathlib.Path, ports: Iterator[int], view: FleetView) -> None:
         self._directory = directory
         self._ports = ports
         self._view = view
-        self._hosts_listen = self._address()
-        self._log_listen = self._address()
+        self._hosts_listen = self._next_address()
+        self._log_listen = self._next_address()
         self._endpoints: list[StandInEndpoint] = []
         self._rows: list[HostRow] = []
 
     def add_entry(self, number: int) -> str:
-        """Write the file of an entry and return the address that callers use."""
+        """Write the file of an entry and return its address for callers."""
         process = self._process(f"entry-{number}", number)
-        self._rows.append(_row_of(process))
+        self._rows.append(_host_row(process))
         self._write(process.host, EntryFile(process))
         return process.listen
 
     def add_endpoint(self, number: int, service: str) -> None:
-        """Write the file of a sidecar and plan the stand-in beside it."""
+        """Write the file of a sidecar and add the stand-in of its endpoint."""
         endpoint_id = f"{service}-{number}"
         settings = self._view.services[service]
-        standin = StandInEndpoint(settings.kind, self._address(), settings.models)
+        standin = StandInEndpoint(settings.kind, self._next_address(), settings.models)
         process = self._process(f"host-{endpoint_id}", number)
         address = f"http://{standin.listen}"
         self._endpoints.append(standin)
-        self._rows.append(attrs.evolve(_row_of(process), endpoint_id=endpoint_id, service=service))
+        self._rows.append(
+            attrs.evolve(_host_row(process), endpoint_id=endpoint_id, service=service)
+        )
         self._write(endpoint_id, SidecarFile(process, endpoint_id, service, address))
 
     def finish(self) -> None:
-        """Write the files of the stand-ins and of an operator."""
+        """Write the files of the stand-ins and of the operator."""
         leaves = leaves_of_view(self._view)
         endpoints, rows = tuple(self._endpoints), tuple(self._rows)
         standins = StandInsFile(self._hosts_listen, self._log_listen, endpoints, rows, leaves)
@@ -112,14 +114,14 @@
             host=host,
             region=DEMO_REGION,
             availability_zone=DEMO_ZONES[number % len(DEMO_ZONES)],
-            listen=self._address(),
-            operator_listen=self._address(),
+            listen=self._next_address(),
+            operator_listen=self._next_address(),
             fleet_key=_FLEET_KEY,
             log_address=f"http://{self._log_listen}",
             hosts_address=f"http://{self._hosts_listen}",
         )
 
-    def _address(self) -> str:
+    def _next_address(self) -> str:
         return f"{_LOOPBACK}:{next(self._ports)}"
 
     def _write(self, name: str, content: Any) -> None:
@@ -135,7 +137,7 @@
 ) -> list[str]:
     """Write a file for each process and return the entries' addresses."""
     view = view if view is not None else demo_view()
-    writer = _Writer(directory, ports, view)
+    writer = _FleetFileWriter(directory, ports, view)
     entries = [writer.add_entry(number) for number in range(plan.entries)]
     for service in view.services:
         for number in range(plan.endpoints):
@@ -144,7 +146,7 @@
     return entries
 
 
-def _row_of(process: ProcessSettings) -> HostRow:
+def _host_row(process: ProcessSettings) -> HostRow:
     return HostRow(
         host=process.host,
         endpoint_id="",
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -1,4 +1,4 @@
-"""The whole path in one process: entries, sidecars and stand-ins on free loopback ports."""
+"""Runs entries, sidecars and stand-ins in one process, on free loopback ports."""
 
 import time
 from collections.abc import Callable
@@ -31,11 +31,11 @@
 
 __all__ = ["LocalEndpoint", "LocalFleet"]
 
-_FREE_PORT = "127.0.0.1:0"
+_EPHEMERAL_ADDRESS = "127.0.0.1:0"
 _FLEET_KEY = "local-fleet-key"
 _LIVE = "live"
 _LEAVING = "leaving"
-_SETTLE_S = 10.0
+_READY_TIMEOUT_S = 10.0
 
 
 @attrs.define
@@ -49,10 +49,10 @@
 
 
 class LocalFleet:
-    """Starts and stops parts of a fleet inside one task group; the wiring is the real one.
+    """Starts and stops parts of a fleet in one task group; they talk over real connections.
 
     Attributes:
-        plain_services: Every plain service that ever ran, those taken away included.
+        plain_services: All plain services that were started, including removed ones.
     """
 
     def __init__(
@@ -67,16 +67,18 @@
         self.nodes: list[Node] = []
         self.plain_services: list[PlainStandIn] = []
         self.log = LogModel()
-        self._platform: dict[str, Server] = {}
+        self._platform_servers: dict[str, Server] = {}
         self._scopes: list[anyio.CancelScope] = []
 
     async def add_endpoint(self, endpoint_id: str, service: str) -> LocalEndpoint:
-        """Start an endpoint with its sidecar and put it on the host list."""
+        """Start an endpoint with its sidecar and add it to the host list."""
         settings = self.view.services[service]
-        app, server = await start_endpoint(self._group, settings.kind, _FREE_PORT, settings.models)
+        app, server = await start_endpoint(
+            self._group, settings.kind, _EPHEMERAL_ADDRESS, settings.models
+        )
         if isinstance(app, PlainStandIn):
             self.plain_services.append(app)
-        process = await self._process(f"host-{endpoint_id}", len(self.endpoints))
+        process = await self._process_settings(f"host-{endpoint_id}", len(self.endpoints))
         file = SidecarFile(process, endpoint_id, service, f"http://{server.address}")
         node = Node.sidecar(file, FleetView())
         row = await self._start(node, endpoint_id, service)
@@ -84,7 +86,7 @@
         return local
 
     async def take_away(self, endpoint_id: str) -> None:
-        """Take an endpoint away as the platform does, and return when its sidecar has ended."""
+        """Remove an endpoint as the platform does and wait until its sidecar has stopped."""
         local = self.endpoints.pop(endpoint_id)
         self.hosts.put(attrs.evolve(local.row, state=_LEAVING))
         local.node.stop()
@@ -96,7 +98,7 @@
     async def add_entry(self) -> str:
         """Start an entry and return its base URL."""
         number = len(self.entries)
-        process = await self._process(f"entry-{number}", number)
+        process = await self._process_settings(f"entry-{number}", number)
         node = Node.entry(EntryFile(process), FleetView())
         row = await self._start(node)
         scheme = "http" if self._tls is None else "https"
@@ -104,32 +106,32 @@
         return self.entries[-1]
 
     async def close(self) -> None:
-        """End everything at once; for the end of a run, when nothing is in flight."""
+        """Stop all processes at once; only for use when no request is in flight."""
         for scope in self._scopes:
             scope.cancel()
         for node in self.nodes:
             await node.ended.wait()
         for local in self.endpoints.values():
             local.server.stop()
-        for server in self._platform.values():
+        for server in self._platform_servers.values():
             server.stop()
 
     async def settle(self) -> None:
         """Wait until every process has read the whole host list and the settings.
 
         Raises:
-            InvariantError: When one has not within ten seconds.
+            InvariantError: If one has not done so within 10 seconds.
         """
-        await self._until(lambda: all(self._is_settled(node) for node in self.nodes))
+        await self._wait_until(lambda: all(self._is_ready(node) for node in self.nodes))
 
-    async def _until(self, is_so: Callable[[], bool]) -> None:
-        until_s = time.monotonic() + _SETTLE_S
-        while not is_so():
-            if time.monotonic() > until_s:
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        deadline_s = time.monotonic() + _READY_TIMEOUT_S
+        while not condition():
+            if time.monotonic() > deadline_s:
                 raise InvariantError("expected every process to be ready within 10 s")
             await anyio.sleep(0.02)
 
-    def _is_settled(self, node: Node) -> bool:
+    def _is_ready(self, node: Node) -> bool:
         status = node.status()
         return not status.not_ready and status.hosts_version >= self.hosts.model.version
 
@@ -154,16 +156,16 @@
             operator_address=node.operator.address,
         )
         self.hosts.put(row)
-        await self._until(lambda: node.status().settings_version > 0)
+        await self._wait_until(lambda: node.status().settings_version > 0)
         return row
 
-    async def _process(self, host: str, number: int) -> ProcessSettings:
+    async def _process_settings(self, host: str, number: int) -> ProcessSettings:
         return ProcessSettings(
             host=host,
             region=DEMO_REGION,
             availability_zone=DEMO_ZONES[number % len(DEMO_ZONES)],
-            listen=_FREE_PORT,
-            operator_listen=_FREE_PORT,
+            listen=_EPHEMERAL_ADDRESS,
+            operator_listen=_EPHEMERAL_ADDRESS,
             fleet_key=_FLEET_KEY,
             log_address=await self.log_url(),
             hosts_address=await self.hosts_url(),
@@ -171,17 +173,17 @@
         )
 
     async def hosts_url(self) -> str:
-        """Return the base URL of the host list, which is started with the first process."""
+        """Return the base URL of the host list, which is started on first use."""
         return await self._platform_url("hosts", self.hosts)
 
     async def log_url(self) -> str:
-        """Return the base URL of the log, which is started with the settings on it."""
-        if "log" not in self._platform:
+        """Return the base URL of the log, which is started on first use with the settings in it."""
+        if "log" not in self._platform_servers:
             await publish_leaves(ModelLogClient(self.log), leaves_of_view(self.view))
         return await self._platform_url("log", LogStandIn(self.log))
 
     async def _platform_url(self, name: str, app: Asgi) -> str:
-        if name not in self._platform:
-            server = self._platform[name] = Server(app, bind(_FREE_PORT))
+        if name not in self._platform_servers:
+            server = self._platform_servers[name] = Server(app, bind(_EPHEMERAL_ADDRESS))
             await self._group.start(server.run_until_stopped)
         return f"http://{self._platform[name].address}"
--- a/src/beryljunction/local/platform.py
+++ b/src/beryljunction/local/platform.py
@@ -1,4 +1,4 @@
-"""The path on the users' platform on one machine: the store's stand-in, endpoints and an entry."""
+"""Runs an entry of the users' platform on one host, with stand-ins of its store and endpoints."""
 
 import json
 import sys
@@ -15,10 +15,10 @@
 
 __all__ = ["LocalPlatform", "serve_platform"]
 
-_KEY = "demo-key"
+_API_KEY = "demo-key"
 _HOST = "demo.example"
-_SERVICES = {"drafter": True, "ledger": False}
-_TRY = """\
+_STREAMING_BY_SERVICE = {"drafter": True, "ledger": False}
+_EXAMPLES = """\
 curl -N http://{callers}/chat/1 -d 'Draft it.' -H 'Host: {host}' -H 'X-Request-Id: q1' \\
   -H 'X-Credential: {key}' -H 'X-Deadline-Ms: 5000' \\
   -H 'X-Prompt-Prefix: common:400,chat-1:900,q1:20'
@@ -29,27 +29,27 @@
 
 
 class LocalPlatform:
-    """A store, two endpoints of each of two services, and one entry.
+    """Stand-ins of the store and of the endpoints of two services, and one entry.
 
     Attributes:
-        host: Settings of the entry; only usable after `start`.
-        endpoints: Stand-ins by their id.
+        host: Settings of the entry; set by `start`.
+        endpoints: Stand-ins by endpoint id.
     """
 
     host: HostSettings
 
     def __init__(self, group: anyio.abc.TaskGroup, endpoints_per_service: int = 2) -> None:
         self._group = group
-        self._per_service = endpoints_per_service
+        self._endpoints_per_service = endpoints_per_service
         self.store = PlatformStoreStandIn()
         self.endpoints: dict[str, PlatformEndpointStandIn] = {}
 
     async def start(self, events: Events | None = None) -> None:
-        """Start everything; the entry is ready a moment later."""
+        """Start the stand-ins and the entry, without waiting until the entry is ready."""
         store = await self._listen(self.store)
         self._put("keyed.op", "config", json.dumps(_config()).encode())
-        for service, streams in _SERVICES.items():
-            for number in range(self._per_service):
+        for service, streams in _STREAMING_BY_SERVICE.items():
+            for number in range(self._endpoints_per_service):
                 endpoint = PlatformEndpointStandIn(f"{service}-{number}", service, streams)
                 address = await self._listen(endpoint)
                 self.endpoints[endpoint.endpoint_id] = endpoint
@@ -78,14 +78,14 @@
 
 
 async def serve_platform() -> None:
-    """Keep the path up and print what to try."""
+    """Run the stand-ins and the entry and print example commands to standard error."""
     async with anyio.create_task_group() as group:
         local = LocalPlatform(group)
         await local.start()
         callers, probes = (
             f"{host}:{port}" for host, port in (local.host.callers, local.host.probes)
         )
-        text = _TRY.format(callers=callers, probes=probes, host=_HOST, key=_KEY)
+        text = _EXAMPLES.format(callers=callers, probes=probes, host=_HOST, key=_API_KEY)
         print(text, file=sys.stderr, flush=True)
 
 
@@ -107,5 +107,5 @@
             {**common, **notes, "service": "ledger"},
         ],
         "services": [{"name": "drafter", "engine": {}}, {"name": "ledger"}],
-        "tenants": [{"name": "demo", "api-keys": [_KEY]}],
+        "tenants": [{"name": "demo", "api-keys": [_API_KEY]}],
     }
--- a/src/beryljunction/local/serving.py
+++ b/src/beryljunction/local/serving.py
@@ -1,4 +1,4 @@
-"""A fleet that stays up for trying with curl."""
+"""Runs a fleet on loopback to try out with curl."""
 
 import anyio
 
@@ -7,7 +7,7 @@
 
 __all__ = ["serve_fleet"]
 
-_TRY = """\
+_EXAMPLES = """\
 curl -N {entry}/v1/chat/completions -H 'Authorization: Bearer {key}' \\
   -d '{{"model": "drafter", "stream": true, "prompt_cache_key": "chat-1", "max_tokens": 8,
        "messages": [{{"role": "user", "content": "Draft the application."}}]}}'
@@ -20,7 +20,7 @@
 
 
 async def serve_fleet(endpoints: int) -> None:
-    """Start entries, endpoints of each service and stand-ins; print what to try."""
+    """Run two entries, endpoints of each service and stand-ins; print example commands."""
     async with anyio.create_task_group() as group:
         fleet = LocalFleet(group, demo_view())
         for service in fleet.view.services:
@@ -30,5 +30,5 @@
         await fleet.settle()
         operator = f"http://{fleet.nodes[-1].operator.address}"
         hosts = await fleet.hosts_url()
-        text = _TRY.format(entry=entries[0], key=DEMO_KEY, operator=operator, hosts=hosts)
+        text = _EXAMPLES.format(entry=entries[0], key=DEMO_KEY, operator=operator, hosts=hosts)
         print(text, flush=True)
--- a/src/beryljunction/local/standins.py
+++ b/src/beryljunction/local/standins.py
@@ -1,4 +1,4 @@
-"""Runs the stand-ins of a fleet whose own processes run apart."""
+"""Runs the stand-ins of a fleet whose entries and sidecars run as separate processes."""
 
 import logging
 import signal
@@ -26,7 +26,7 @@
 async def start_endpoint(
     group: anyio.abc.TaskGroup, kind: str, listen: str, models: tuple[str, ...] = ()
 ) -> tuple[EngineStandIn | PlainStandIn, Server]:
-    """Start an engine, which holds its models already, or a plain service."""
+    """Start a stand-in engine, with its models already loaded, or a stand-in plain service."""
     app = EngineStandIn() if kind == _ENGINE else PlainStandIn()
     if isinstance(app, EngineStandIn):
         app.orders.models = dict.fromkeys(models, "")
@@ -54,6 +54,6 @@
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
-        # A stand-in stops at once; the requests that this breaks are no news.
+        # Stand-ins stop at once; errors that uvicorn logs for aborted requests are expected.
         logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
         group.cancel_scope.cancel()
--- a/testing/test_daemons.py
+++ b/testing/test_daemons.py
@@ -15,17 +15,17 @@
 
 
 class TestRunDaemon:
-    def test_starts_from_one_path_without_the_command_line_library(self, monkeypatch):
+    def test_runs_a_single_path_without_importing_defopt(self, monkeypatch):
         monkeypatch.setitem(sys.modules, "defopt", None)
         monkeypatch.setattr(sys, "argv", ["beryl-entry", "dir/a.toml"])
 
-        with pytest.raises(SystemExit) as exit_:
+        with pytest.raises(SystemExit) as exit_info:
             run_daemon(start)
 
-        assert exit_.value.code == len("a.toml")
+        assert exit_info.value.code == len("a.toml")
 
     @pytest.mark.parametrize(
-        ("arguments", "code", "said"),
+        ("arguments", "code", "expected_text"),
         [
             (["--help"], 0, "Start something."),
             ([], 2, "the following arguments are required: settings"),
@@ -33,11 +33,13 @@
         ],
         ids=["help", "no-path", "two-paths"],
     )
-    def test_explains_every_other_command_line(self, monkeypatch, capsys, arguments, code, said):
+    def test_leaves_other_command_lines_to_defopt(
+        self, monkeypatch, capsys, arguments, code, expected_text
+    ):
         monkeypatch.setattr(sys, "argv", ["beryl-entry", *arguments])
 
-        with pytest.raises(SystemExit) as exit_:
+        with pytest.raises(SystemExit) as exit_info:
             run_daemon(start)
 
-        assert exit_.value.code == code
-        assert said in "".join(capsys.readouterr())
+        assert exit_info.value.code == code
+        assert expected_text in "".join(capsys.readouterr())
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -20,7 +20,7 @@
 
 
 class TestTls:
-    def test_whole_path_runs_over_tls_and_a_sidecar_wants_a_certificate(self):
+    def test_fleet_runs_over_tls_and_a_sidecar_requires_a_client_certificate(self):
         async def run():
             async with anyio.create_task_group() as group:
                 fleet = LocalFleet(group, demo_view(), tls_settings())
@@ -42,7 +42,7 @@
 
 
 class TestLocalFleet:
-    def test_replaced_endpoint_has_another_incarnation_and_is_found_again(self):
+    def test_replaced_endpoint_has_a_new_incarnation_and_receives_requests(self):
         async def run():
             async with anyio.create_task_group() as group, client_pool() as pool:
                 fleet = LocalFleet(group, demo_view())
@@ -74,7 +74,7 @@
             pytest.param(10, 0, 1, False, id="run-twice"),
         ],
     )
-    def test_promises(self, whole, refusals, double_runs, kept):
+    def test_kept_promises(self, whole, refusals, double_runs, kept):
         result = DemoResult(
             answers_total=10, answers_whole=whole, refusals=refusals, double_runs=double_runs
         )
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -11,7 +11,7 @@
 
 
 class TestLocalPlatform:
-    def test_a_stream_and_a_call_come_whole_through_the_entry(self):
+    def test_a_stream_and_a_call_are_relayed_whole(self):
         async def run():
             async with anyio.create_task_group() as group:
                 local = LocalPlatform(group)
--- a/testing/test_timeline.py
+++ b/testing/test_timeline.py
@@ -4,22 +4,22 @@
 
 
 class TestHybridClock:
-    def test_time_never_goes_back_when_the_wall_clock_does(self):
-        walls = iter([10.0, 9.0, 9.5])
-        clock = HybridClock(lambda: next(walls))
+    def test_time_never_goes_back_if_the_wall_clock_does(self):
+        wall_times_s = iter([10.0, 9.0, 9.5])
+        clock = HybridClock(lambda: next(wall_times_s))
 
         times = [clock.now() for _ in range(3)]
 
         assert times == sorted(set(times))
 
-    def test_answer_is_later_than_its_request_though_the_answering_clock_is_behind(self):
-        asking = HybridClock(lambda: 100.0)
-        answering = HybridClock(lambda: 99.0)
+    def test_response_is_later_than_its_request_if_the_responding_clock_is_behind(self):
+        requester = HybridClock(lambda: 100.0)
+        responder = HybridClock(lambda: 99.0)
 
-        asked = asking.now()
-        answering.heard_stamp(asking.stamp())
+        sent = requester.now()
+        responder.heard_stamp(requester.stamp())
 
-        assert answering.now() > asked
+        assert responder.now() > sent
 
     @pytest.mark.parametrize(
         "stamp",
@@ -29,7 +29,7 @@
             pytest.param(b"99999999999999.0", id="far-ahead"),
         ],
     )
-    def test_stamp_that_cannot_be_true_is_left_out_of_account(self, stamp):
+    def test_implausible_stamp_is_ignored(self, stamp):
         clock = HybridClock(lambda: 100.0)
 
         clock.heard_stamp(stamp)
@@ -38,7 +38,7 @@
 
 
 class TestTimeline:
-    def test_flood_of_ordinary_events_does_not_push_out_a_refusal(self):
+    def test_flood_of_ordinary_events_does_not_evict_a_refusal(self):
         timeline = Timeline("host-a", "ahd-a")
         timeline.add("refused", "r1", "overloaded")
 
@@ -47,7 +47,7 @@
 
         assert [event.kind for event in timeline.events("r1")][0] == "refused"
 
-    def test_merged_rings_show_one_request_in_order_over_processes(self):
+    def test_merged_events_of_one_request_are_in_causal_order(self):
         entry = Timeline("entry-0", "ahd-a", HybridClock(lambda: 100.0))
         sidecar = Timeline("host-a", "ahd-b", HybridClock(lambda: 99.0))
 
