--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -169,10 +169,10 @@
         reader = desk.session.reader
         end_s = time.monotonic() + (for_s or float("inf"))
         while time.monotonic() < end_s:
-            last_version = reader.version
+            seen = reader.version
             if not await desk.session.look():
                 return print_log_down(json)
-            for judged in [j for j in reader.history if j.offset > last_version]:
+            for judged in [j for j in reader.history if j.offset > seen]:
                 say(json, judged_row(judged), judged_line(judged))
             await anyio.sleep(_POLL_INTERVAL_S)
         return EXIT_OK
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -186,4 +186,4 @@
         if name not in self._platform_servers:
             server = self._platform_servers[name] = Server(app, bind(_EPHEMERAL_ADDRESS))
             await self._group.start(server.run_until_stopped)
-        return f"http://{self._platform[name].address}"
+        return f"http://{self._platform_servers[name].address}"
