--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -34,7 +34,7 @@
     fleet: OperatorClient | None
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force at each process of the host list and of the file's nodes."""
+        """Return the version in force at each process on the host list or named in the file."""
         versions = await self.nodes.versions()
         if self.fleet is None:
             return versions
