--- a/src/beryljunction/entry/__init__.py
+++ b/src/beryljunction/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The process that takes callers."""
+"""Entries: the router processes that accept client requests."""
 
 from beryljunction.entry.app import EntryApp
 from beryljunction.entry.callers import CallerRequest
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -1,4 +1,4 @@
-"""The process that takes callers: checks, picks candidates, relays, retries within a budget."""
+"""ASGI application of an entry: authenticates, reads and routes client requests."""
 
 import json
 import ssl
@@ -33,14 +33,14 @@
 _MODELS_PATH = "/v1/models"
 _TICKETS_PATH = "/v1/tickets"
 _STREAMS_PREFIX = "/v1/streams/"
-_PLAIN_PREFIX = "/services/"
-_CANCEL_S = 3.0
-_NAMES_EARLIER = frozenset((TICKET_HEADER, KEY_HEADER))
+_SERVICES_PREFIX = "/services/"
+_CANCEL_TIMEOUT_S = 3.0
+_EARLIER_REQUEST_HEADERS = frozenset((TICKET_HEADER, KEY_HEADER))
 
 
 @attrs.frozen
 class _ServiceWish:
-    """Body of a request for a ticket."""
+    """Body of a ticket request."""
 
     service: str
 
@@ -49,7 +49,7 @@
 
 
 class EntryApp(Stoppable):
-    """ASGI application of an entry; decisions are left to its systems."""
+    """ASGI application of an entry; placement and retry decisions are made in `systems`."""
 
     def __init__(
         self,
@@ -90,41 +90,41 @@
         }
         self._prefixes: list[tuple[str, _Handler]] = [
             (_STREAMS_PREFIX, self._resume),
-            (_PLAIN_PREFIX, self._plain),
+            (_SERVICES_PREFIX, self._plain),
         ]
         self.apply(view)
 
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
         self.view = view
         self._router.view = view
         self.uploads.view = view
         self._accounts = AccountIndex(view.accounts)
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Work until cancelled."""
+        """Hold the connection pool open and run the silence timeouts until cancelled."""
         async with self._pool:
             task_status.started()
             await self.watches.run()
 
     @property
     def in_flight(self) -> int:
-        """Callers that wait for an answer or read one."""
+        """Number of requests whose answer has not been sent completely."""
         return self._in_flight
 
     def refuse_new(self) -> None:
-        """Take no new work; what is under way goes on."""
+        """Refuse new requests; those in flight continue."""
         self.leaving = True
 
     async def hand_over(self) -> None:
-        """Hand over nothing: an entry knows nothing that others don't."""
+        """Do nothing: an entry holds no state that another entry lacks."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one HTTP request of a caller."""
+        """Serve one HTTP request."""
         caller = CallerWriter(send, uuid.uuid4().hex)
         self._in_flight += 1
         try:
-            exchange = await self._accept(scope, receive, caller)
+            exchange = await self._read_request(scope, receive, caller)
             if isinstance(exchange, Refusal):
                 await self._refuse(caller, exchange)
             else:
@@ -132,15 +132,17 @@
         finally:
             self._in_flight -= 1
 
-    async def _accept(
+    async def _read_request(
         self, scope: Scope, receive: Receive, caller: CallerWriter
     ) -> Exchange | Refusal:
-        """Check what can be checked before the request is understood."""
+        """Check limits and API key and read the body, before the path and body are parsed."""
         limits = self.view.limits
         if self.leaving or self._in_flight > limits.connections:
-            return self._busy(scope)
+            return self._overload_refusal(scope)
         if sum(len(k) + len(v) for k, v in scope["headers"]) > limits.header_bytes:
-            return _no(RefusalCode.TOO_LARGE, f"expected {limits.header_bytes} bytes of headers")
+            return _not_run_refusal(
+                RefusalCode.TOO_LARGE, f"expected {limits.header_bytes} bytes of headers"
+            )
         headers = dict(scope["headers"])
         account = self._accounts.account_of(headers)
         if isinstance(account, Refusal):
@@ -148,19 +150,19 @@
         body = await self.uploads.read(receive, headers, account)
         if body is RefusalCode.OVERLOADED:
             message = f"expected at most {limits.upload_bytes} bytes of bodies at the same time"
-            return _not_read(scope, body, message, UPLOAD_RETRY_S)
+            return _unread_refusal(scope, body, message, UPLOAD_RETRY_S)
         if isinstance(body, RefusalCode):
             message = f"expected at most {limits.body_bytes} bytes within {limits.body_s:g} s"
-            return _not_read(scope, body, message)
+            return _unread_refusal(scope, body, message)
         return Exchange(scope, headers, account, body, caller)
 
-    def _busy(self, scope: Scope) -> Refusal:
-        """Refuse before anything is read."""
+    def _overload_refusal(self, scope: Scope) -> Refusal:
+        """Return the refusal for a request that is rejected before its body is read."""
         if self.leaving:
             message = "this entry is stopping; ask another one"
-            return _not_read(scope, RefusalCode.LEAVING, message, 1.0)
+            return _unread_refusal(scope, RefusalCode.LEAVING, message, 1.0)
         message = f"expected at most {self.view.limits.connections} requests at the same time"
-        return _not_read(scope, RefusalCode.OVERLOADED, message, 1.0)
+        return _unread_refusal(scope, RefusalCode.OVERLOADED, message, 1.0)
 
     async def _serve(self, exchange: Exchange, receive: Receive) -> None:
         handler = self._handler(exchange)
@@ -171,13 +173,13 @@
                 await self._refuse(exchange.caller, refusal)
             group.cancel_scope.cancel()
         if not exchange.caller.complete:
-            await self._hang_up(exchange)
+            await self._cancel_relay(exchange)
 
-    async def _hang_up(self, exchange: Exchange) -> None:
-        """Tell the sidecar that its caller is gone, so that it works for nobody no longer."""
+    async def _cancel_relay(self, exchange: Exchange) -> None:
+        """Tell the sidecar that the caller disconnected, so that it stops generating the answer."""
         self.timeline.add("hung_up", exchange.caller.request_id)
         if exchange.relay is not None:
-            with anyio.move_on_after(_CANCEL_S, shield=True):
+            with anyio.move_on_after(_CANCEL_TIMEOUT_S, shield=True):
                 await exchange.relay.cancel()
 
     def _handler(self, exchange: Exchange) -> _Handler:
@@ -192,7 +194,7 @@
     async def _not_found(self, exchange: Exchange) -> Refusal:
         known = ", ".join(f"{method} {path}" for method, path in self._routes)
         got = f"{exchange.method} {exchange.path}"
-        return _no(RefusalCode.NOT_FOUND, f"expected one of {known}, got {got}")
+        return _not_run_refusal(RefusalCode.NOT_FOUND, f"expected one of {known}, got {got}")
 
     async def _models(self, exchange: Exchange) -> None:
         rows = [
@@ -203,14 +205,16 @@
         await exchange.caller.json(json.dumps({"object": "list", "data": rows}).encode())
 
     async def _ticket(self, exchange: Exchange) -> Refusal | None:
-        """Give the caller a ticket, under which its next request runs at most once."""
+        """Return a ticket; a request that is sent with it runs at most once."""
         try:
-            wish = decode(exchange.body, _ServiceWish)
+            requested = decode(exchange.body, _ServiceWish)
         except ValueError as error:
-            return _no(RefusalCode.BAD_REQUEST, str(error))
-        if wish.service not in self.view.services:
-            return _no(RefusalCode.NOT_FOUND, f"expected a service, got {wish.service!r}")
-        ticket = await self._router.fetch_ticket(wish.service, exchange.account)
+            return _not_run_refusal(RefusalCode.BAD_REQUEST, str(error))
+        if requested.service not in self.view.services:
+            return _not_run_refusal(
+                RefusalCode.NOT_FOUND, f"expected a service, got {requested.service!r}"
+            )
+        ticket = await self._router.fetch_ticket(requested.service, exchange.account)
         if isinstance(ticket, Refusal):
             return ticket
         await exchange.caller.json(encode(TicketGrant(ticket)))
@@ -223,7 +227,7 @@
         )
 
     async def _plain(self, exchange: Exchange) -> Refusal | None:
-        service, _, rest = exchange.path.removeprefix(_PLAIN_PREFIX).partition("/")
+        service, _, rest = exchange.path.removeprefix(_SERVICES_PREFIX).partition("/")
         query = exchange.scope["query_string"].decode("latin-1")
         path = f"/{rest}?{query}" if query else f"/{rest}"
         headers = exchange.scope["headers"]
@@ -235,12 +239,12 @@
         )
 
     async def _resume(self, exchange: Exchange) -> Refusal | None:
-        """Take up a stream that any entry began, after the event that the caller saw last."""
+        """Resume a stream that any entry began, after the last event the caller received."""
         stream_id = exchange.path.removeprefix(_STREAMS_PREFIX)
         position = event_position(exchange.header(b"last-event-id") or f"{stream_id}.0")
         if position is None or stream_id not in (str(position[0]), position[0].request_id):
             message = "expected /v1/streams/STREAM with the id of an event of it as Last-Event-ID"
-            return _no(RefusalCode.BAD_REQUEST, message)
+            return _not_run_refusal(RefusalCode.BAD_REQUEST, message)
         name, after = position
         endpoint = self.endpoints.get(name.endpoint_id)
         if endpoint is None:
@@ -257,20 +261,22 @@
         await caller.refuse(refusal)
 
 
-def _not_read(
+def _unread_refusal(
     scope: Scope, code: RefusalCode, message: str, retry_after_s: float | None = None
 ) -> Refusal:
-    """Return the refusal of a request whose body was not read whole.
+    """Return the refusal of a request whose body was not read completely.
 
-    Of a stream that is to be resumed, or a request with a ticket or key, this entry knows nothing:
-    it may well have run through another one. Of the try itself it knows that it did not run.
+    A resumed stream, or a request with a ticket or idempotency key, may already have run through
+    another entry, so its outcome is unknown. This attempt itself is known not to have run.
     """
     if scope["path"].startswith(_STREAMS_PREFIX):
         return Refusal(code, message, Ran.UNKNOWN, retry_after_s)
-    if _NAMES_EARLIER.isdisjoint(name for name, _ in scope["headers"]):
+    if _EARLIER_REQUEST_HEADERS.isdisjoint(name for name, _ in scope["headers"]):
         return Refusal(code, message, Ran.NO, retry_after_s)
     return Refusal(code, message, Ran.UNKNOWN, retry_after_s, try_ran=Ran.NO)
 
 
-def _no(code: RefusalCode, message: str, retry_after_s: float | None = None) -> Refusal:
+def _not_run_refusal(
+    code: RefusalCode, message: str, retry_after_s: float | None = None
+) -> Refusal:
     return Refusal(code, message, Ran.NO, retry_after_s)
--- a/src/beryljunction/entry/callers.py
+++ b/src/beryljunction/entry/callers.py
@@ -1,4 +1,4 @@
-"""What callers send: who they are and what they ask for."""
+"""Authentication and validation of client requests."""
 
 import hashlib
 import json
@@ -12,11 +12,11 @@
 
 __all__ = ["AccountIndex", "CallerRequest", "chat_request", "plain_request"]
 
-_TOKEN_BYTES = 4
+_BYTES_PER_TOKEN = 4
 _DEFAULT_OUTPUT_TOKENS = 256
 _IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
-# What belongs to the caller's own connection, or is a secret between it and the entry.
-_HELD_BACK = frozenset(
+# Not forwarded: headers of the caller's own connection, and credentials for the entry.
+_NOT_FORWARDED_HEADERS = frozenset(
     (
         b"authorization",
         b"connection",
@@ -32,13 +32,13 @@
         b"x-request-id",
     )
 )
-_OWN_PREFIX = b"beryl-"
+_BERYL_PREFIX = b"beryl-"
 _BEARER = b"Bearer "
 
 
 @attrs.frozen
 class CallerRequest:
-    """A caller's request, checked."""
+    """A validated client request."""
 
     service: str
     body: bytes
@@ -53,20 +53,20 @@
 
 
 class AccountIndex:
-    """Client accounts by the digest of their API key.
+    """Client accounts by the SHA-256 digest of their API key.
 
-    The look-up compares digests only, which tell nothing of the keys; the last comparison takes
-    the same time wherever the first difference is.
+    The lookup compares only digests, which reveal nothing about the keys, and the final comparison
+    takes the same time wherever the digests differ.
     """
 
     def __init__(self, accounts: Mapping[str, AccountSettings]) -> None:
-        self._rows = {row.key_sha256: name for name, row in accounts.items()}
+        self._names_by_digest = {row.key_sha256: name for name, row in accounts.items()}
 
     def account_of(self, headers: Mapping[bytes, bytes]) -> str | Refusal:
-        """Return the client account that an API key belongs to."""
+        """Return the client account of the request's API key, or a refusal."""
         given = headers.get(b"authorization", b"")
         digest = hashlib.sha256(given.removeprefix(_BEARER)).hexdigest()
-        name = self._rows.get(digest)
+        name = self._names_by_digest.get(digest)
         if name is None or not given.startswith(_BEARER):
             message = "expected a known API key as 'Authorization: Bearer KEY'"
             return Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
@@ -74,14 +74,14 @@
 
 
 def chat_request(body: bytes, view: FleetView, account: str) -> CallerRequest | Refusal:
-    """Check the body of a chat completion."""
+    """Validate the body of a chat completion and return the request."""
     try:
         data = json.loads(body)
     except ValueError as error:
-        return _bad(f"expected a JSON body, got {error}")
+        return _bad_request_refusal(f"expected a JSON body, got {error}")
     problem = _chat_problem(data)
     if problem is not None:
-        return _bad(problem)
+        return _bad_request_refusal(problem)
     service = view.service_of_model(data["model"])
     if service is None:
         message = f"model: expected one that is served here, got {data['model']!r}"
@@ -95,7 +95,7 @@
         idempotent=view.service_for(service, account).idempotent,
         streamed=data.get("stream") or False,
         chat_id=data.get("prompt_cache_key"),
-        prompt_tokens=len(body) // _TOKEN_BYTES,
+        prompt_tokens=len(body) // _BYTES_PER_TOKEN,
         output_tokens=_output_tokens(data),
     )
 
@@ -109,17 +109,17 @@
     view: FleetView,
     account: str,
 ) -> CallerRequest | Refusal:
-    """Check a call of a plain service; its method, path, headers and body are passed on whole."""
+    """Validate a call of a plain service; method, path, headers and body are forwarded."""
     settings = view.services.get(service)
     if settings is None or settings.kind != "plain":
         return Refusal(RefusalCode.NOT_FOUND, f"expected a plain service, got {service!r}", Ran.NO)
     passed = tuple(
         (key.decode("latin-1"), value.decode("latin-1"))
         for key, value in headers
-        if key not in _HELD_BACK and not key.startswith(_OWN_PREFIX)
+        if key not in _NOT_FORWARDED_HEADERS and not key.startswith(_BERYL_PREFIX)
     )
-    own = view.service_for(service, account)
-    idempotent = own.idempotent or method in _IDEMPOTENT_METHODS
+    effective = view.service_for(service, account)
+    idempotent = effective.idempotent or method in _IDEMPOTENT_METHODS
     return CallerRequest(service, body, method, path, passed, idempotent)
 
 
@@ -148,5 +148,5 @@
     return max(1, int(tokens))
 
 
-def _bad(message: str) -> Refusal:
+def _bad_request_refusal(message: str) -> Refusal:
     return Refusal(RefusalCode.BAD_REQUEST, message, Ran.NO)
--- a/src/beryljunction/entry/exchanges.py
+++ b/src/beryljunction/entry/exchanges.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the entry."""
+"""State of one client request while the entry handles it."""
 
 import attrs
 
@@ -11,11 +11,11 @@
 
 @attrs.define
 class Exchange:
-    """One caller's request, its account known, and the answer to it.
+    """An authenticated client request and the writer of its answer.
 
     Attributes:
-        headers: The last of each name.
-        relay: The try under way, which has to hear of the caller's hang-up.
+        headers: Request headers; of a repeated name, the last value.
+        relay: The current attempt, which is cancelled when the caller disconnects.
     """
 
     scope: Scope
@@ -27,7 +27,7 @@
 
     @property
     def path(self) -> str:
-        """Path that was asked for, without its query."""
+        """Request path without the query string."""
         return str(self.scope["path"])
 
     @property
@@ -36,5 +36,5 @@
         return str(self.scope["method"])
 
     def header(self, name: bytes) -> str | None:
-        """Return a header's value, or None when it is missing or empty."""
+        """Return a header's value, or None if it is missing or empty."""
         return self.headers.get(name, b"").decode("latin-1") or None
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -1,4 +1,4 @@
-"""Brings a checked request to an endpoint: candidates, tries, pointers."""
+"""Routes a validated request: selects endpoints, retries, reports where a chat was served."""
 
 import random
 import time
@@ -32,14 +32,14 @@
 
 __all__ = ["Router"]
 
-_CHAT_ID_CHARS = 256
+_MAX_CHAT_ID_CHARS = 256
 
 
 class Router:
-    """Walks requests through their candidates.
+    """Sends requests to their candidate endpoints, one after another.
 
     Attributes:
-        view: Settings in force.
+        view: Current settings.
     """
 
     def __init__(
@@ -63,21 +63,21 @@
         self._random = random.Random()
 
     async def route(self, exchange: Exchange, request: CallerRequest) -> Refusal | None:
-        """Bring the request to an endpoint; None when the caller has its answer."""
+        """Route the request to an endpoint; return None if the caller received its answer."""
         self._timeline.add("arrived", exchange.caller.request_id, request.service)
         chat_key = chat_key_of(exchange.account, request.chat_id) if request.chat_id else None
         envelope = self._envelope(exchange, request, chat_key)
         query = self._query(exchange, request, chat_key)
-        names_earlier = exchange.header(TICKET_HEADER) or exchange.header(KEY_HEADER)
-        if request.idempotent and not names_earlier:
-            return await self._route_freely(exchange, envelope, request.body, query)
+        refers_to_earlier = exchange.header(TICKET_HEADER) or exchange.header(KEY_HEADER)
+        if request.idempotent and not refers_to_earlier:
+            return await self._route_repeatable(exchange, envelope, request.body, query)
         candidates = self._placement.candidates(query, time.monotonic())
         envelope = attrs.evolve(envelope, idempotent=False)
         silence_s = self._silence_s(envelope)
         return await self._tickets.route(exchange, envelope, request.body, candidates, silence_s)
 
     async def fetch_ticket(self, service: str, account: str) -> str | Refusal:
-        """Return a ticket of one of the service's sidecars."""
+        """Return a ticket issued by one of the service's sidecars."""
         query = PlacementQuery(service, self._random.getrandbits(64), self._zone)
         candidates = self._placement.candidates(query, time.monotonic())
         ticket = await self._tickets.fetch(candidates, account)
@@ -86,19 +86,21 @@
         message = "expected a sidecar that gives tickets, found none; retry later"
         return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0)
 
-    async def _route_freely(
+    async def _route_repeatable(
         self, exchange: Exchange, envelope: Envelope, body: bytes, query: PlacementQuery
     ) -> Refusal | None:
-        """Walk the candidates with a request that may run again after a failure."""
+        """Try the candidates in turn with a request that may safely run more than once."""
         attempts = self._attempts(query, envelope)
         step = attempts.first()
         while isinstance(step, Try):
-            offer = _offer(envelope, step)
+            attempt_envelope = _envelope_for_attempt(envelope, step)
             silence_s = self._silence_s(envelope)
-            refusal = await self._tries.run(exchange, step.endpoint, offer, body, silence_s)
+            refusal = await self._tries.run(
+                exchange, step.endpoint, attempt_envelope, body, silence_s
+            )
             if refusal is None:
                 self._budget.earn()
-                await self._tell_keepers(attempts, step.endpoint, envelope)
+                await self._notify_pointer_holders(attempts, step.endpoint, envelope)
                 return None
             envelope = attrs.evolve(envelope, attempt=envelope.attempt + 1)
             step = attempts.after(refusal, step.endpoint)
@@ -114,16 +116,19 @@
         home = self._placement.home(query, now_s) if query.hint else None
         return AttemptSystem(candidates, self._budget, envelope.idempotent, previous_home, home)
 
-    async def _tell_keepers(
-        self, attempts: AttemptSystem, taker: Endpoint, envelope: Envelope
+    async def _notify_pointer_holders(
+        self, attempts: AttemptSystem, server: Endpoint, envelope: Envelope
     ) -> None:
-        """Tell who keeps a chat's pointer who took it; a lost message costs a warm cache only."""
+        """Tell the sidecars that hold a chat's pointer where it was served.
+
+        A lost message costs only a warm prefix cache.
+        """
         if envelope.chat_key is None:
             return
         tokens = envelope.prompt_tokens + envelope.output_tokens
-        moved = ChatMoved(envelope.chat_key, taker.endpoint_id, tokens)
-        for keeper in attempts.keepers(taker):
-            await self._sidecars.tell(keeper, MOVED_PATH, moved)
+        moved = ChatMoved(envelope.chat_key, server.endpoint_id, tokens)
+        for holder in attempts.keepers(server):
+            await self._sidecars.tell(holder, MOVED_PATH, moved)
 
     def _silence_s(self, envelope: Envelope) -> float:
         return self.view.services[envelope.service].silence_s
@@ -148,7 +153,7 @@
             service=request.service,
             wait_s=self.view.service_for(request.service, exchange.account).deadline_s,
             chat_key=chat_key,
-            chat_id=_short(request.chat_id),
+            chat_id=_chat_id_for_header(request.chat_id),
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
             idempotent=request.idempotent,
@@ -159,12 +164,12 @@
         )
 
 
-def _short(chat_id: str | None) -> str:
-    """Return a chat id that fits a header; an overlong one only keeps its prefix from moving."""
-    return chat_id if chat_id and len(chat_id) <= _CHAT_ID_CHARS else ""
+def _chat_id_for_header(chat_id: str | None) -> str:
+    """Return the chat id, or "" if it is too long for a header; its prefix then is not moved."""
+    return chat_id if chat_id and len(chat_id) <= _MAX_CHAT_ID_CHARS else ""
 
 
-def _offer(envelope: Envelope, step: Try) -> Envelope:
+def _envelope_for_attempt(envelope: Envelope, step: Try) -> Envelope:
     return attrs.evolve(
         envelope,
         warm=step.warm,
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -1,4 +1,4 @@
-"""Sidecars as an entry calls them."""
+"""HTTP client of an entry for the sidecars of the endpoints."""
 
 import time
 from collections.abc import AsyncIterator
@@ -42,43 +42,43 @@
 
 __all__ = ["BROKEN", "NOT_CONNECTED", "Heard", "SidecarAnswer", "SidecarClient"]
 
-# A connection inside a region takes some milliseconds; a host that is gone answers nothing, and
-# each tenth of a second spent on it is taken from the caller's first token.
-_CONNECT_S = 1.0
-_CONTROL_S = 2.0
-# A claim waits for the log, up to two seconds by its own limit.
-_CLAIM_S = 4.0
-_OUTCOMES = {outcome.encode(): outcome for outcome in Outcome}
+# Connecting within a region takes a few milliseconds. A host that is gone does not answer at all,
+# and waiting for it delays the caller's first token.
+_CONNECT_TIMEOUT_S = 1.0
+_CONTROL_TIMEOUT_S = 2.0
+# A claim itself waits up to two seconds for the log.
+_CLAIM_TIMEOUT_S = 4.0
+_OUTCOME_BY_HEADER = {outcome.encode(): outcome for outcome in Outcome}
 NOT_CONNECTED = (httpcore.ConnectError, httpcore.ConnectTimeout)
 BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 @attrs.frozen
 class Heard:
-    """A stamp of a sidecar and when it was heard, by this host's boot time."""
+    """A sidecar's stamp and when it was received, as seconds since this host's boot."""
 
     stamp: Stamp
     heard_s: float
 
     @property
     def age_s(self) -> float:
-        """Seconds since then."""
+        """Seconds since the stamp was received."""
         return boot_time_s() - self.heard_s
 
 
 class SidecarAnswer:
-    """The answer of a sidecar while its connection is open.
+    """A sidecar's response whose connection is still open.
 
     Attributes:
-        outcome: What the answer is; None when it was not written by a sidecar's handler.
-        stamp: Name and time of the sidecar that speaks.
-        name: Name of the stream, for the frames of a stream.
-        hlc: Hybrid logical time at which it spoke.
+        outcome: Kind of the answer; None if no handler of a sidecar wrote it.
+        stamp: Identity and clock of the sidecar.
+        name: Name of the stream, if the answer is one.
+        hlc: Hybrid logical time at which the sidecar answered.
     """
 
     def __init__(self, response: httpcore.Response, watch: Watch) -> None:
         headers = dict(response.headers)
-        self.outcome = _OUTCOMES.get(headers.get(OUTCOME_HEADER, b""))
+        self.outcome = _OUTCOME_BY_HEADER.get(headers.get(OUTCOME_HEADER, b""))
         self.stamp = Stamp.from_text(headers.get(STAMP_HEADER, b"").decode("latin-1"))
         self.name = StreamName.parse(headers.get(STREAM_HEADER, b"").decode("latin-1"))
         self.hlc = headers.get(HLC_HEADER)
@@ -87,7 +87,7 @@
 
 
 class SidecarClient:
-    """Carries messages to sidecars."""
+    """Sends requests and control messages to sidecars."""
 
     def __init__(
         self,
@@ -99,41 +99,42 @@
     ) -> None:
         self._pool = pool
         self._watches = watches
-        self._heard: dict[str, Heard] = {}
-        self._key = (FLEET_KEY_HEADER, fleet_key.encode())
+        self._last_stamps: dict[str, Heard] = {}
+        self._fleet_key_header = (FLEET_KEY_HEADER, fleet_key.encode())
         self._clock = clock
         self._membership = membership
 
     def run(
         self, endpoint: Endpoint, envelope: Envelope, body: bytes, silence_s: float
     ) -> AbstractAsyncContextManager[SidecarAnswer]:
-        """Send a request; httpcore's ReadTimeout ends the block when the sidecar is silent."""
+        """Send a request; the block ends with httpcore's ReadTimeout if the sidecar is silent."""
         headers = [(ENVELOPE_HEADER, encode(envelope))]
         return self._open(endpoint, RUN_PATH, headers, body, silence_s)
 
     def attach(
         self, endpoint: Endpoint, attach: Attach, silence_s: float
     ) -> AbstractAsyncContextManager[SidecarAnswer]:
-        """Take up an answer on a new connection; silence ends it like :meth:`run`."""
+        """Continue an answer on a new connection; times out on silence like :meth:`run`."""
         return self._open(endpoint, ATTACH_PATH, [], encode(attach), silence_s)
 
     def note_failure(self, endpoint: Endpoint) -> None:
-        """Take in that nothing came through to a sidecar."""
+        """Record that a sidecar could not be reached."""
         self._membership.note_failure(endpoint.endpoint_id, time.monotonic())
 
     async def drop_idle(self, endpoint: Endpoint) -> None:
-        """Give up the idle connections to a sidecar that one of them has failed."""
+        """Close the idle connections to a sidecar after one connection to it failed."""
         await drop_idle(self._pool, f"http://{endpoint.address}")
 
     def avoid(self, endpoint: Endpoint) -> None:
-        """Ask a leaving endpoint last for some seconds; the host list says if it is for longer.
+        """Try a leaving endpoint only as the last candidate for the next few seconds.
 
-        Its word does not hold for good here, since an operator may undo a drain.
+        The preference expires because an operator may undo a drain; the host list shows whether
+        the endpoint keeps leaving.
         """
         endpoint.suspect_until_s = time.monotonic() + self._membership.limits.suspect_s
 
     async def ticket(self, endpoint: Endpoint, account: str) -> str | None:
-        """Fetch a ticket; None when the sidecar gave none. Asking again is harmless."""
+        """Fetch a ticket; return None if the sidecar gave none. Safe to repeat."""
         body = await self.tell(endpoint, TICKET_PATH, TicketWish(account))
         try:
             return None if body is None else decode(body, TicketGrant).ticket
@@ -141,19 +142,21 @@
             return None
 
     def heard(self, endpoint: Endpoint) -> Heard | None:
-        """Return what was heard last of an endpoint's sidecar."""
-        return self._heard.get(endpoint.endpoint_id)
+        """Return the last stamp received from the endpoint's sidecar."""
+        return self._last_stamps.get(endpoint.endpoint_id)
 
-    def _hear(self, endpoint: Endpoint, stamp: Stamp | None) -> None:
+    def _note_stamp(self, endpoint: Endpoint, stamp: Stamp | None) -> None:
         if stamp is not None and stamp.endpoint_id == endpoint.endpoint_id:
-            self._heard[endpoint.endpoint_id] = Heard(stamp, boot_time_s())
+            self._last_stamps[endpoint.endpoint_id] = Heard(stamp, boot_time_s())
             self._membership.note_answer(endpoint.endpoint_id, time.monotonic(), stamp.incarnation)
 
     async def claim(self, endpoint: Endpoint, wish: KeyWish) -> str | Refusal | None:
-        """Settle an idempotency key; None when the sidecar did not answer."""
-        with anyio.move_on_after(_CLAIM_S):
+        """Claim an idempotency key; return its ticket, a refusal, or None without an answer."""
+        with anyio.move_on_after(_CLAIM_TIMEOUT_S):
             try:
-                async with self._open(endpoint, CLAIM_PATH, [], encode(wish), _CLAIM_S) as answer:
+                async with self._open(
+                    endpoint, CLAIM_PATH, [], encode(wish), _CLAIM_TIMEOUT_S
+                ) as answer:
                     body = await answer.response.aread()
                     if answer.outcome is Outcome.REFUSAL:
                         return refusal_from_body(body)
@@ -163,14 +166,16 @@
         return None
 
     async def cancel(self, endpoint: Endpoint, cancel: Cancel) -> None:
-        """Tell a sidecar that the caller hung up; a failure costs only the work."""
+        """Tell a sidecar that the caller disconnected; if this fails, work is merely wasted."""
         await self.tell(endpoint, CANCEL_PATH, cancel)
 
     async def tell(self, endpoint: Endpoint, path: str, message: Any) -> bytes | None:
-        """Send a control message and return the body of the answer; None without one in time."""
-        with anyio.move_on_after(_CONTROL_S):
+        """Send a control message; return the answer's body, or None without one in time."""
+        with anyio.move_on_after(_CONTROL_TIMEOUT_S):
             try:
-                async with self._open(endpoint, path, [], encode(message), _CONTROL_S) as answer:
+                async with self._open(
+                    endpoint, path, [], encode(message), _CONTROL_TIMEOUT_S
+                ) as answer:
                     body = await answer.response.aread()
                     return body if answer.outcome is Outcome.DONE else None
             except (*NOT_CONNECTED, *BROKEN):
@@ -186,8 +191,8 @@
         body: bytes,
         silence_s: float,
     ) -> AsyncIterator[SidecarAnswer]:
-        own = [
-            self._key,
+        common_headers = [
+            self._fleet_key_header,
             (HLC_HEADER, self._clock.stamp()),
             (b"content-length", b"%d" % len(body)),
         ]
@@ -195,12 +200,12 @@
             async with self._pool.stream(
                 "POST",
                 f"http://{endpoint.address}{path}",
-                headers=[*own, *headers],
+                headers=[*common_headers, *headers],
                 content=body,
-                extensions={"timeout": {"connect": _CONNECT_S}},
+                extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
                 answer = SidecarAnswer(response, watch)
                 self._clock.heard_stamp(answer.hlc)
                 watch.heard()
-                self._hear(endpoint, answer.stamp)
+                self._note_stamp(endpoint, answer.stamp)
                 yield answer
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -1,4 +1,4 @@
-"""Brings a request that may not be repeated to an endpoint, under a ticket or a key."""
+"""Routes requests that must not run twice, by means of tickets and idempotency keys."""
 
 import heapq
 
@@ -26,21 +26,22 @@
 
 __all__ = ["TicketRouter"]
 
-# A ticket's life counts from its stamp. One that is minted on an old stamp would expire early and
-# leave its caller with "unknown", so the sidecar is asked for a new one instead.
-_FRESH_STAMP_S = 60.0
-# Stamps that go along for successors: as many as a chain of tickets may be long.
-_MOST_CANDIDATES = 4
-# A second home covers the loss of the first; more would wait on hosts that are all unreachable.
-_MOST_HOMES = 2
+# A ticket's lifetime counts from its stamp. A ticket minted from an old stamp would expire early
+# and leave its caller with "unknown", so the sidecar is asked for a new one instead.
+_MAX_STAMP_AGE_S = 60.0
+# Stamps sent along for successor tickets; equals the maximum length of a chain of tickets.
+_MAX_CANDIDATES = 4
+# The second home covers the loss of the first. Asking more would only add timeouts when hosts are
+# unreachable.
+_MAX_HOMES = 2
 
 
 @attrs.frozen
-class _Offer:
-    """A request that may not be repeated, on its way.
+class _PendingRequest:
+    """A request that must not run twice, with the state of its routing.
 
     Attributes:
-        untried: Candidates that it has not been offered to.
+        untried: Candidates that have not received the request yet.
     """
 
     exchange: Exchange
@@ -51,7 +52,7 @@
 
 
 class TicketRouter:
-    """Walks requests along their chains of tickets."""
+    """Sends a request along its chain of tickets until one endpoint runs or refuses it."""
 
     def __init__(
         self, endpoints: EndpointTable, sidecars: SidecarClient, tries: Tries, fleet_key: bytes
@@ -69,44 +70,48 @@
         candidates: list[Endpoint],
         silence_s: float,
     ) -> Refusal | None:
-        """Bring the request to an endpoint; None when the caller has its answer."""
+        """Route the request to an endpoint; return None if the caller received its answer."""
         ticket = exchange.header(TICKET_HEADER)
         key = exchange.header(KEY_HEADER)
         if ticket is None and key is not None:
-            settled = await self._settle_key(envelope, body, key, candidates)
-            if isinstance(settled, Refusal):
-                return settled
-            ticket = settled
-        offer = _Offer(exchange, envelope, body, silence_s, list(candidates))
-        return await self._walk(offer, TicketAttempts(candidates, ticket))
+            claimed = await self._claim_key(envelope, body, key, candidates)
+            if isinstance(claimed, Refusal):
+                return claimed
+            ticket = claimed
+        pending = _PendingRequest(exchange, envelope, body, silence_s, list(candidates))
+        return await self._run_attempts(pending, TicketAttempts(candidates, ticket))
 
     async def fetch(self, candidates: list[Endpoint], account: str) -> str | None:
-        """Fetch a ticket that its caller may use later; its sidecar was alive a moment ago."""
-        for endpoint in candidates[:_MOST_CANDIDATES]:
+        """Return a ticket from the first candidate that answers; None if none does."""
+        for endpoint in candidates[:_MAX_CANDIDATES]:
             ticket = await self._sidecars.ticket(endpoint, account)
             if ticket is not None:
                 return ticket
         return None
 
-    async def _walk(self, offer: _Offer, attempts: TicketAttempts) -> Refusal | None:
+    async def _run_attempts(
+        self, pending: _PendingRequest, attempts: TicketAttempts
+    ) -> Refusal | None:
         step = attempts.first()
         while not isinstance(step, GiveUp):
-            ticket = await self._ticket_for(step, offer.envelope.account)
-            refusal = await self._try(offer, ticket, step)
+            ticket = await self._ticket_for(step, pending.envelope.account)
+            refusal = await self._run_attempt(pending, ticket, step)
             if refusal is None:
                 return None
-            attempt = offer.envelope.attempt + 1
-            offer = attrs.evolve(offer, envelope=attrs.evolve(offer.envelope, attempt=attempt))
+            attempt = pending.envelope.attempt + 1
+            pending = attrs.evolve(
+                pending, envelope=attrs.evolve(pending.envelope, attempt=attempt)
+            )
             step = attempts.after(refusal, ticket)
         return step.refusal
 
-    async def _settle_key(
+    async def _claim_key(
         self, envelope: Envelope, body: bytes, key: str, candidates: list[Endpoint]
     ) -> str | Refusal:
-        """Return the ticket that a key stands for: one minted now, or that of an earlier request.
+        """Return the ticket of an idempotency key: a new one, or that of an earlier request.
 
-        Any sidecar may settle it, the log decides. The shard's homes are asked so that few
-        processes read each stream and claims share their appends.
+        Any sidecar could make the claim, since the log decides. Asking the shard's home endpoints
+        keeps the readers of each log stream few and lets claims share appends.
         """
         ticket = await self.fetch(candidates, envelope.account)
         if ticket is None:
@@ -115,59 +120,63 @@
         digest = key_digest(envelope.account, envelope.service, key)
         shard = claim_shard(digest, KEY_SHARDS)
         request = body_digest(envelope.method.encode(), envelope.path.encode(), body)
-        wish = KeyWish(envelope.request_id, shard, digest, request, ticket)
-        for home in self._homes(shard):
-            settled = await self._sidecars.claim(home, wish)
-            if settled is not None:
-                return settled
+        key_claim = KeyWish(envelope.request_id, shard, digest, request, ticket)
+        for home in self._shard_homes(shard):
+            claimed = await self._sidecars.claim(home, key_claim)
+            if claimed is not None:
+                return claimed
         return key_refusal(KeyUnavailable(1.0))
 
-    def _homes(self, shard: int) -> list[Endpoint]:
+    def _shard_homes(self, shard: int) -> list[Endpoint]:
         key = chat_key_of("", claim_stream(shard))
         live = [row for row in self._endpoints if row.state is EndpointState.LIVE]
         return heapq.nlargest(
-            _MOST_HOMES, live, key=lambda row: rendezvous_score(key, row.endpoint_id, row.weight)
+            _MAX_HOMES, live, key=lambda row: rendezvous_score(key, row.endpoint_id, row.weight)
         )
 
     async def _ticket_for(self, step: TicketStep, account: str) -> str | None:
         if isinstance(step, Mint):
             heard = self._sidecars.heard(step.endpoint)
-            if heard is None or heard.age_s > _FRESH_STAMP_S:
+            if heard is None or heard.age_s > _MAX_STAMP_AGE_S:
                 return await self._sidecars.ticket(step.endpoint, account)
             return self._mint.mint(heard.stamp, account)
         assert not isinstance(step, GiveUp)
         return step.ticket
 
-    async def _try(self, offer: _Offer, ticket: str | None, step: TicketStep) -> Refusal | None:
-        endpoint = self._endpoint_of(ticket, offer.envelope.service)
+    async def _run_attempt(
+        self, pending: _PendingRequest, ticket: str | None, step: TicketStep
+    ) -> Refusal | None:
+        endpoint = self._endpoint_of(ticket, pending.envelope.service)
         if isinstance(endpoint, Refusal):
             return endpoint
-        offer.untried[:] = [row for row in offer.untried if row.endpoint_id != endpoint.endpoint_id]
-        stamps = self._fresh_stamps(offer.untried)[:_MOST_CANDIDATES]
+        pending.untried[:] = [
+            row for row in pending.untried if row.endpoint_id != endpoint.endpoint_id
+        ]
+        stamps = self._fresh_stamps(pending.untried)[:_MAX_CANDIDATES]
         is_last = isinstance(step, UseTicket) and step.last_resort
         envelope = attrs.evolve(
-            offer.envelope, ticket=ticket, last_resort=is_last or not stamps, candidates=stamps
+            pending.envelope, ticket=ticket, last_resort=is_last or not stamps, candidates=stamps
         )
         assert ticket is not None
-        offer.exchange.caller.put(TICKET_HEADER, ticket.encode())
+        pending.exchange.caller.put(TICKET_HEADER, ticket.encode())
         return await self._tries.run(
-            offer.exchange, endpoint, envelope, offer.body, offer.silence_s
+            pending.exchange, endpoint, envelope, pending.body, pending.silence_s
         )
 
     def _fresh_stamps(self, endpoints: list[Endpoint]) -> tuple[str, ...]:
         rows = [heard for row in endpoints if (heard := self._sidecars.heard(row)) is not None]
-        return tuple(row.stamp.to_text() for row in rows if row.age_s <= _FRESH_STAMP_S)
+        return tuple(row.stamp.to_text() for row in rows if row.age_s <= _MAX_STAMP_AGE_S)
 
     def _endpoint_of(self, ticket: str | None, service: str) -> Endpoint | Refusal:
-        """Return the endpoint whose sidecar the ticket is bound to."""
+        """Return the endpoint that the ticket is bound to, or a refusal."""
         if ticket is None:
             message = "the endpoint's sidecar gave no ticket"
             return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
-        read = self._mint.read(ticket)
-        if read is None:
+        parsed = self._mint.read(ticket)
+        if parsed is None:
             message = "expected a ticket as POST /v1/tickets gives it"
             return Refusal(RefusalCode.TICKET_INVALID, message, Ran.NO)
-        endpoint = self._endpoints.get(read.stamp.endpoint_id)
+        endpoint = self._endpoints.get(parsed.stamp.endpoint_id)
         if endpoint is None:
             message = "the endpoint of this ticket is gone; look up the outcome before asking again"
             return Refusal(RefusalCode.TICKET_INVALID, message, Ran.UNKNOWN)
--- a/src/beryljunction/entry/tries.py
+++ b/src/beryljunction/entry/tries.py
@@ -1,4 +1,4 @@
-"""One try of a request at one endpoint's sidecar."""
+"""Sends one attempt of a request to one endpoint's sidecar."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 
 class Tries:
-    """Carries tries out, whatever decided on them."""
+    """Runs single attempts for the routers, which choose the endpoints."""
 
     def __init__(self, sidecars: SidecarClient, timeline: Timeline) -> None:
         self._sidecars = sidecars
@@ -29,10 +29,11 @@
         body: bytes,
         silence_s: float,
     ) -> Refusal | None:
-        """Offer the request to an endpoint; None when the caller has its answer."""
+        """Send the request to an endpoint; return None if the caller received its answer."""
         caller = exchange.caller
         heard = self._sidecars.heard(endpoint)
-        # What was heard before a byte went out: only the incarnation that got it can prove "no".
+        # The stamp known before sending: only the incarnation that received the request can prove
+        # that it did not run.
         stamp = heard.stamp.to_text() if heard is not None else ""
         age_s = heard.age_s if heard is not None else 0.0
         attach = Attach(
--- a/src/beryljunction/entry/uploads.py
+++ b/src/beryljunction/entry/uploads.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies within the bound on all of them together."""
+"""Reads request bodies within a limit on the bytes of all uploads in progress."""
 
 from collections.abc import MutableMapping
 from typing import Any
@@ -10,16 +10,16 @@
 
 __all__ = ["UPLOAD_RETRY_S", "UploadReader"]
 
-# Most uploads take well under a second; the slowest may take `limits.body_s`.
+# Most uploads take well under a second, though the slowest may take `limits.body_s`.
 UPLOAD_RETRY_S = 1.0
 _LENGTH_HEADER = b"content-length"
 
 
 class UploadReader:
-    """Reads one body at a time for each request, all of them within one bound.
+    """Reads request bodies within the shared limit `limits.upload_bytes`.
 
     Attributes:
-        view: Settings in force.
+        view: Current settings.
     """
 
     def __init__(self, view: FleetView) -> None:
@@ -28,13 +28,13 @@
 
     @property
     def held_bytes(self) -> int:
-        """Bytes that count against the bound at the moment."""
+        """Bytes that currently count against the limit."""
         return self._uploads.held_bytes
 
     async def read(
         self, receive: Receive, headers: dict[bytes, bytes], account: str
     ) -> bytes | RefusalCode:
-        """Return a body, or why it was not taken: too large (or slow), or no room now."""
+        """Return the body, TOO_LARGE if it is too large or slow, or OVERLOADED at the limit."""
         limits = self.view.limits
         announced_bytes = _announced_bytes(headers)
         if announced_bytes > limits.body_bytes:
@@ -43,7 +43,7 @@
         upload = self._uploads.begin(account, announced_bytes, self._weight(account))
         if upload is None:
             return RefusalCode.OVERLOADED
-        counter = _Counter(self._uploads, upload, receive, self._weight(account))
+        counter = _CountedReceive(self._uploads, upload, receive, self._weight(account))
         try:
             body = await read_body(counter.receive, limits.body_bytes, limits.body_s)
         finally:
@@ -57,11 +57,11 @@
         return settings.weight if settings is not None else 1.0
 
 
-class _Counter:
-    """Counts what arrives of one body, and ends it where there is no more room.
+class _CountedReceive:
+    """Counts the received bytes of one body and cuts it off at the shared limit.
 
     Attributes:
-        is_full: Whether it was ended.
+        is_full: Whether the body was cut off.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._weight = weight
 
     async def receive(self) -> MutableMapping[str, Any]:
-        """Return the next message of the body, or a hang-up in its place."""
+        """Return the next ASGI message, or a disconnect if the limit is reached."""
         message = await self._receive()
         size_bytes = len(message.get("body", b""))
         if not self._uploads.receive(self._upload, size_bytes, self._weight):
@@ -84,6 +84,6 @@
 
 
 def _announced_bytes(headers: dict[bytes, bytes]) -> int:
-    """Return the length that a caller names; a body in chunks counts as it arrives."""
+    """Return the Content-Length, or 0 for a chunked body, which counts as it arrives."""
     text = headers.get(_LENGTH_HEADER, b"0")
     return int(text) if text.isdigit() else 0
--- a/src/beryljunction/entry/writers.py
+++ b/src/beryljunction/entry/writers.py
@@ -1,4 +1,4 @@
-"""Answers to callers."""
+"""Writes responses to callers."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 ROUTE_HINT_HEADER = b"beryl-route-hint"
 KEY_HEADER = b"idempotency-key"
 TICKET_HEADER = b"beryl-ticket"
-_STATUS = {
+_STATUS_BY_CODE = {
     RefusalCode.BAD_REQUEST: 400,
     RefusalCode.UNAUTHENTICATED: 401,
     RefusalCode.NOT_FOUND: 404,
@@ -27,73 +27,73 @@
     RefusalCode.DEADLINE: 504,
 }
 _DEFAULT_STATUS = 503
-_OWN_PREFIX = b"beryl-"
+_BERYL_PREFIX = b"beryl-"
 
 
 @attrs.define
 class CallerWriter:
-    """Writes the one answer that a caller gets.
+    """Writes the response to one request.
 
     Attributes:
-        streaming: Whether the head of a stream was written; only an event can tell an error then.
-        complete: Whether the answer has ended; the caller's hang-up means nothing after that.
+        streaming: Whether the head of a stream was sent; errors are then sent as an event.
+        complete: Whether the response has ended; a later disconnect is ignored.
     """
 
     _send: Send
     request_id: str
     streaming: bool = False
     complete: bool = False
-    _extra: dict[bytes, bytes] = attrs.field(factory=dict)
+    _extra_headers: dict[bytes, bytes] = attrs.field(factory=dict)
 
     def put(self, name: bytes, value: bytes) -> None:
-        """Add a header to whatever answer follows."""
-        self._extra[name] = value
+        """Set a header of the response, whichever kind it will be."""
+        self._extra_headers[name] = value
 
     async def refuse(self, refusal: Refusal) -> None:
-        """End with an error: a typed body, or an event in an open stream."""
+        """End the response with an error: a JSON body, or an event if a stream is open."""
         body = refusal_body(refusal, self.request_id)
         if self.streaming:
             await self.end(error_event(body))
             return
-        headers = self._own_headers()
+        headers = self._entry_headers()
         if refusal.retry_after_s is not None:
             headers.append((b"retry-after", b"%d" % max(1, round(refusal.retry_after_s))))
-        status = _STATUS.get(refusal.code, _DEFAULT_STATUS)
+        status = _STATUS_BY_CODE.get(refusal.code, _DEFAULT_STATUS)
         await respond(self._send, status, body, headers)
         self.complete = True
 
     async def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Pass on an endpoint's whole answer."""
-        passed = [(key, value) for key, value in headers if not key.startswith(_OWN_PREFIX)]
-        head = [*passed, *self._own_headers()]
+        """Forward a complete answer of an endpoint."""
+        forwarded = [(key, value) for key, value in headers if not key.startswith(_BERYL_PREFIX)]
+        head = [*forwarded, *self._entry_headers()]
         await self._send({"type": "http.response.start", "status": status, "headers": head})
         await self._send({"type": "http.response.body", "body": body})
         self.complete = True
 
     async def json(self, body: bytes) -> None:
-        """Answer with JSON of the entry's own."""
-        await respond(self._send, 200, body, self._own_headers())
+        """Send a JSON response that the entry itself produced."""
+        await respond(self._send, 200, body, self._entry_headers())
         self.complete = True
 
     async def open_stream(self, name: StreamName) -> None:
-        """Write the head of a stream."""
+        """Send the response head of a stream."""
         headers = [
             (b"content-type", b"text/event-stream"),
             (b"cache-control", b"no-store"),
             (STREAM_HEADER, str(name).encode()),
-            *self._own_headers(),
+            *self._entry_headers(),
         ]
         await self._send({"type": "http.response.start", "status": 200, "headers": headers})
         self.streaming = True
 
     async def frames(self, data: bytes) -> None:
-        """Pass on whole frames; waits while the caller is slow."""
+        """Forward complete frames; blocks while the caller reads slowly."""
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def end(self, tail: bytes = b"") -> None:
-        """End a stream."""
+        """End a stream, after the last bytes `tail`."""
         await self._send({"type": "http.response.body", "body": tail})
         self.complete = True
 
-    def _own_headers(self) -> list[tuple[bytes, bytes]]:
-        return [(REQUEST_ID_HEADER, self.request_id.encode()), *self._extra.items()]
+    def _entry_headers(self) -> list[tuple[bytes, bytes]]:
+        return [(REQUEST_ID_HEADER, self.request_id.encode()), *self._extra_headers.items()]
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -493,7 +493,7 @@
     """Make sidecar and entry believe that time has passed."""
     for system in (app.keeper.tickets, app.keeper.tombstones):
         system.clock._started_s -= elapsed_s
-    heard = path.entry_app._sidecars._heard
+    heard = path.entry_app._sidecars._last_stamps
     for endpoint_id, row in heard.items():
         heard[endpoint_id] = attrs.evolve(row, heard_s=row.heard_s - elapsed_s)
 
