--- a/src/beryljunction/node/__init__.py
+++ b/src/beryljunction/node/__init__.py
@@ -1,4 +1,4 @@
-"""What the processes of the fleet share: listeners, host list, settings, metrics and the stop."""
+"""Parts common to all fleet processes: listeners, host list, settings, metrics, shutdown."""
 
 from beryljunction.node.client import Answers, OperatorClient
 from beryljunction.node.entry_role import EntryRole
--- a/src/beryljunction/node/client.py
+++ b/src/beryljunction/node/client.py
@@ -1,4 +1,4 @@
-"""What an operator's program asks the processes of the fleet, found by the host list."""
+"""Client for the operator listeners of all processes on the host list."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -16,29 +16,29 @@
 
 __all__ = ["Answers", "OperatorClient"]
 
-# At the target there are 1,050 processes: asked 64 at a time, each within some milliseconds, they
-# have all answered within a second or two, and the operator's host needs few sockets.
-_AT_A_TIME = 64
-_ANSWER_S = 3.0
+# A fleet of the target size has 1,050 processes. With 64 concurrent requests of a few milliseconds
+# each, all answer within a second or two, and the operator's host needs few sockets.
+_MAX_CONCURRENT_REQUESTS = 64
+_TIMEOUT_S = 3.0
 
 T = TypeVar("T")
 
 
 @attrs.define
 class Answers(Generic[T]):
-    """What the processes answered, by host, and why others did not."""
+    """Answers of the processes by host, and error texts of those that failed."""
 
     values: dict[str, T] = attrs.field(factory=dict)
     failures: dict[str, str] = attrs.field(factory=dict)
 
 
 class OperatorClient:
-    """Asks the operator listeners of the processes on the host list.
+    """Queries the operator listeners of the processes on the host list.
 
     Args:
-        pool: For the host list, which is the platform's and has no TLS of the fleet.
-        nodes: For the processes, where that is another pool.
-        key: Key that the listeners want to see; empty for none.
+        pool: Pool for the host list, a platform service outside the fleet's TLS.
+        nodes: Pool for the processes; defaults to `pool`.
+        key: Operator key for the listeners; empty to send none.
     """
 
     def __init__(
@@ -49,45 +49,45 @@
         key: str = "",
     ) -> None:
         self._nodes = nodes if nodes is not None else pool
-        self._key = [(b"authorization", b"Bearer " + key.encode())] if key else []
+        self._key_header = [(b"authorization", b"Bearer " + key.encode())] if key else []
         self._hosts = HttpHostList(pool, hosts_url)
         self._clock = HybridClock()
 
     async def rows(self) -> list[HostRow]:
-        """Return the processes that the host list has.
+        """Return the rows of the host list.
 
         Raises:
-            PlatformUnavailableError: When the list did not answer.
+            PlatformUnavailableError: If the host list did not answer.
         """
         return list((await self._hosts.changes(0, 0.0)).rows)
 
     async def status(self, rows: list[HostRow]) -> Answers[NodeStatus]:
-        """Return what each process says of itself."""
+        """Return the status of each process."""
 
         async def ask(row: HostRow) -> NodeStatus:
-            return decode(await self._ask(row, "GET", STATUS_PATH), NodeStatus)
+            return decode(await self._request(row, "GET", STATUS_PATH), NodeStatus)
 
         return await self._gather(rows, ask)
 
     async def events(
         self, rows: list[HostRow], request_id: str | None, last: int
     ) -> Answers[list[Event]]:
-        """Return the newest events of each process, of one request or of all."""
+        """Return the `last` newest events of each process, optionally of one request only."""
         query = {"last": str(last)}
         if request_id is not None:
             query["request_id"] = request_id
 
         async def ask(row: HostRow) -> list[Event]:
-            body = await self._ask(row, "GET", f"{EVENTS_PATH}?{urlencode(query)}")
+            body = await self._request(row, "GET", f"{EVENTS_PATH}?{urlencode(query)}")
             return [Event(*fields) for fields in json.loads(body)["events"]]
 
         return await self._gather(rows, ask)
 
     async def drain(self, row: HostRow, leaving: bool) -> Answers[NodeStatus]:
-        """Have a process take no new work, or take it again."""
+        """Drain a process, or end its drain if `leaving` is false."""
 
         async def ask(row: HostRow) -> NodeStatus:
-            body = await self._ask(row, "POST", DRAIN_PATH, encode(Drain(leaving)))
+            body = await self._request(row, "POST", DRAIN_PATH, encode(Drain(leaving)))
             return decode(body, NodeStatus)
 
         return await self._gather([row], ask)
@@ -96,9 +96,9 @@
         self, rows: list[HostRow], ask: Callable[[HostRow], Awaitable[T]]
     ) -> Answers[T]:
         answers: Answers[T] = Answers()
-        limiter = anyio.CapacityLimiter(_AT_A_TIME)
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
-        async def one(row: HostRow) -> None:
+        async def ask_one(row: HostRow) -> None:
             async with limiter:
                 try:
                     answers.values[row.host] = await ask(row)
@@ -111,19 +111,21 @@
 
         async with anyio.create_task_group() as group:
             for row in rows:
-                group.start_soon(one, row)
+                group.start_soon(ask_one, row)
         return answers
 
-    async def _ask(self, row: HostRow, method: str, path: str, body: bytes = b"") -> bytes:
+    async def _request(self, row: HostRow, method: str, path: str, body: bytes = b"") -> bytes:
         response = await self._nodes.request(
             method,
             f"http://{row.operator_address}{path}",
-            headers=[(HLC_HEADER, self._clock.stamp()), *self._key],
+            headers=[(HLC_HEADER, self._clock.stamp()), *self._key_header],
             content=body,
-            extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_S)},
+            extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), _TIMEOUT_S)},
         )
         if response.status == 401:
-            raise ValueError("expected the key of the operator listener, got none that it knows")
+            raise ValueError(
+                "expected the key of the operator listener, got status 401 (key missing or unknown)"
+            )
         if response.status not in (200, 202):
             raise ValueError(f"expected status 200, got {response.status}")
         return response.content
--- a/src/beryljunction/node/entry_role.py
+++ b/src/beryljunction/node/entry_role.py
@@ -1,4 +1,4 @@
-"""What an entry adds to the wiring that all processes share."""
+"""The role of an entry within the common process wiring."""
 
 import time
 from typing import Any
@@ -16,11 +16,11 @@
 
 __all__ = ["EntryRole"]
 
-_TICK_S = 0.5
+_TICK_INTERVAL_S = 0.5
 
 
 class EntryRole(NodeRole):
-    """An entry: relays callers' requests to the endpoints on the list."""
+    """An entry: relays client requests to the endpoints on the host list."""
 
     name = "entry"
     is_mutual = False
@@ -34,20 +34,20 @@
         self._listed_incarnations: dict[str, str] = {}
 
     async def run(self, *, task_status: Any) -> None:
-        """Watch the entry's connections and let suspicions end."""
+        """Run the entry and expire the suspect state of endpoints."""
         async with anyio.create_task_group() as group:
             await group.start(self.entry.run)
             task_status.started()
             while True:
-                await anyio.sleep(_TICK_S)
+                await anyio.sleep(_TICK_INTERVAL_S)
                 self.entry.membership.tick(time.monotonic())
 
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
         self.entry.apply(view)
 
     def take_hosts(self, rows: list[HostRow]) -> None:
-        """Give the list to the membership, which weighs it against what this entry saw."""
+        """Update the membership, which combines the list with this entry's own observations."""
         now_s = time.monotonic()
         membership = self.entry.membership
         endpoints = [row for row in rows if row.endpoint_id]
@@ -57,17 +57,17 @@
         membership.apply_list([_listed(row) for row in endpoints], now_s)
 
     def drain(self, leaving: bool) -> None:
-        """Do nothing more: the readiness probe tells the balancer, callers are still served."""
+        """Do nothing: the readiness probe informs the load balancer; callers are still served."""
 
     def status(self, status: NodeStatus) -> NodeStatus:
-        """Add the number of endpoints known."""
+        """Add the number of known endpoints."""
         return attrs.evolve(status, endpoints=len(self.endpoints))
 
     def _is_replaced(self, row: HostRow) -> bool:
-        """Whether the list has another host in a slot than before.
+        """Return whether the list now has a different host for an endpoint id.
 
-        The list's incarnation is the platform's and only says that something changed; the one that
-        tickets and attached readers are bound to is named by the sidecar itself.
+        The list's incarnation comes from the platform and only shows that something changed.
+        Tickets and attached readers are bound to the incarnation that the sidecar itself reports.
         """
         known = self._listed_incarnations.get(row.endpoint_id, row.incarnation)
         self._listed_incarnations[row.endpoint_id] = row.incarnation
--- a/src/beryljunction/node/front.py
+++ b/src/beryljunction/node/front.py
@@ -1,4 +1,4 @@
-"""The paths by which processes of the fleet talk to each other, before a role's own paths."""
+"""Serves the control paths between fleet processes, ahead of the role's application."""
 
 import hmac
 from collections.abc import Callable, Mapping
@@ -9,19 +9,19 @@
 
 __all__ = ["FleetFront"]
 
-_LINE_BYTES = len("HTTP/1.1 200 OK\r\n\r\n")
-_HEADER_BYTES = len(": \r\n")
+_STATUS_LINE_BYTES = len("HTTP/1.1 200 OK\r\n\r\n")
+_HEADER_OVERHEAD_BYTES = len(": \r\n")
 
 
 class FleetFront:
-    """Answers control paths to who shows the fleet's key; everything else goes to the role.
+    """ASGI middleware that serves control paths and forwards other requests to the role.
 
     Args:
-        app: The role's own application.
-        fleet_key: Secret that the fleet's processes show each other.
-        routes: Control paths and what answers them.
-        refusal: Why the role can't be asked yet, if so.
-        count: Told of the bytes of each control exchange: path, sent, received.
+        app: Application of the role.
+        fleet_key: Shared secret that control requests must carry.
+        routes: Handlers of the control paths.
+        refusal: Returns why the role can't serve yet, or None if it can.
+        count: Called after each control exchange with path, bytes sent and bytes received.
     """
 
     def __init__(
@@ -42,23 +42,25 @@
         """Serve one request."""
         route = self._routes.get(scope["path"])
         if route is None:
-            await self._ask_role(scope, receive, send)
+            await self._forward_to_role(scope, receive, send)
         elif hmac.compare_digest(
             dict(scope["headers"]).get(FLEET_KEY_HEADER, b""), self._fleet_key
         ):
-            await self._answer(route, scope, receive, send)
+            await self._answer_counted(route, scope, receive, send)
         else:
             refusal = Refusal(RefusalCode.UNAUTHENTICATED, "expected the fleet's key", Ran.NO)
             await respond(send, 401, refusal_body(refusal, ""))
 
-    async def _ask_role(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _forward_to_role(self, scope: Scope, receive: Receive, send: Send) -> None:
         refusal = self._refusal()
         if refusal is None:
             await self._app(scope, receive, send)
         else:
             await respond(send, 503, refusal_body(refusal, ""), [(b"retry-after", b"1")])
 
-    async def _answer(self, route: Asgi, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _answer_counted(
+        self, route: Asgi, scope: Scope, receive: Receive, send: Send
+    ) -> None:
         sent = received = 0
 
         async def receive_counted() -> dict[str, object]:
@@ -81,4 +83,6 @@
 def _head_bytes(headers: list[tuple[bytes, bytes]]) -> int:
     if not headers:
         return 0
-    return _LINE_BYTES + sum(len(key) + len(value) + _HEADER_BYTES for key, value in headers)
+    return _STATUS_LINE_BYTES + sum(
+        len(key) + len(value) + _HEADER_OVERHEAD_BYTES for key, value in headers
+    )
--- a/src/beryljunction/node/hosts.py
+++ b/src/beryljunction/node/hosts.py
@@ -1,4 +1,4 @@
-"""Follows the platform's host list into a process's own view of the hosts."""
+"""Keeps a local copy of the platform's host list up to date."""
 
 import random
 from collections.abc import Callable
@@ -12,27 +12,27 @@
 
 __all__ = ["HostFollower", "HostView"]
 
-# Long polls: an idle list costs a process one small exchange in this time.
-_WAIT_S = 20.0
-# Changes come in bursts (a rack, a roll-out). The pause puts a burst into few answers, and 0.5 s
-# is well within the few seconds in which a leaving endpoint must get no more work.
-_PAUSE_S = 0.5
+# Long polls: an unchanged list costs each process one small exchange per interval.
+_POLL_WAIT_S = 20.0
+# Changes come in bursts (a rack, a roll-out), and the pause collects a burst into few responses.
+# 0.5 s is well within the few seconds after which a leaving endpoint must get no more work.
+_POLL_PAUSE_S = 0.5
 _MAX_BACKOFF_S = 5.0
 
 
 class HostView:
-    """The hosts as the list has them, put together from its changes."""
+    """Local copy of the host list, built from its changes."""
 
     def __init__(self) -> None:
         self.rows: dict[str, HostRow] = {}
         self.version = 0
 
     def apply(self, changes: HostChanges) -> bool:
-        """Take in changes; False when they were left out of account.
+        """Apply changes; return False if they were ignored.
 
-        A list service that has lost its rows answers with a full list of none. Taken in, every
-        endpoint would be gone and all callers refused, so an empty full list changes nothing: an
-        endpoint that is really gone fails its next connection and is suspected.
+        A list service that has lost its data returns an empty full list. Applying it would remove
+        every endpoint and refuse all callers, so it is ignored. An endpoint that is really gone
+        fails its next connection and is then suspected.
         """
         if changes.full and not changes.rows and self.rows:
             return False
@@ -47,10 +47,10 @@
 
 
 class HostFollower:
-    """Reads the list's changes for as long as the process runs.
+    """Polls the host list for changes.
 
     Args:
-        on_change: Told of all rows after each change.
+        on_change: Called with all rows after each change.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._random = random.Random()
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
-        """Follow until cancelled; an outage leaves the last view as it is."""
+        """Poll until cancelled; during an outage the last view is kept."""
         task_status.started()
         failures = 0
         while True:
@@ -73,16 +73,16 @@
             failures = failures + 1 if problem else 0
             if failures == 1:
                 self._timeline.add("hosts_unavailable", detail=problem)
-            await anyio.sleep(self._backoff_s(failures) if problem else _PAUSE_S)
+            await anyio.sleep(self._backoff_s(failures) if problem else _POLL_PAUSE_S)
 
     async def _read(self) -> str:
-        """Read and take in the next changes; return the problem, empty when there was none."""
+        """Read and apply the next changes; return an error text, empty on success."""
         try:
-            changes = await self._hosts.changes(self.view.version, _WAIT_S)
+            changes = await self._hosts.changes(self.view.version, _POLL_WAIT_S)
         except PlatformUnavailableError as error:
             return str(error)
         if not self.view.apply(changes):
-            return "expected rows, got a full list without any"
+            return "expected at least one row, got an empty full list; keeping the known hosts"
         if changes.rows or changes.gone or changes.full:
             detail = f"version={changes.version} rows={len(changes.rows)} gone={len(changes.gone)}"
             self._timeline.add("hosts_changed", detail=detail)
@@ -90,5 +90,5 @@
         return ""
 
     def _backoff_s(self, failures: int) -> float:
-        """Full jitter, so that the fleet doesn't come back to a restarted list at one moment."""
+        """Return a delay with full jitter, to spread the fleet's reconnects to a restarted list."""
         return self._random.uniform(0.1, min(_MAX_BACKOFF_S, 0.2 * 2.0**failures))
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -1,4 +1,4 @@
-"""What operators and their tools ask a process, on a listener of its own."""
+"""Operator listener of a process: probes, metrics, status, events and drain."""
 
 import ipaddress
 import json
@@ -22,22 +22,22 @@
 
 __all__ = ["OperatorKeys", "operator_app", "operator_keys"]
 
-_LAST_EVENTS = 1_000
-_SHA256 = re.compile(r"[0-9a-f]{64}")
-# The platform's probes and scrapers hold no key of ours. What they see names no request, client
-# account or chat, and none of it changes anything; without them a restart or an alarm would hang on
-# the distribution of a secret.
-_OPEN_PATHS = frozenset(("/livez", "/readyz", "/metrics"))
+_DEFAULT_EVENT_COUNT = 1_000
+_SHA256_HEX = re.compile(r"[0-9a-f]{64}")
+# The platform's probes and metric scrapers have no operator key; requiring one would make restarts
+# and alarms depend on distributing a secret. These paths are read-only and name no request, client
+# account or chat.
+_PUBLIC_PATHS = frozenset(("/livez", "/readyz", "/metrics"))
 
 
 class OperatorKeys:
-    """Lets who shows an operator's key on to an application; a few paths are open to all.
+    """ASGI middleware that requires an operator key on all but a few public paths.
 
-    Harm: whoever reaches the address could drain endpoints one after the other until no one serves.
-    Every path that is not named as open wants the key, so that a new one can't be left out.
+    Without a key, anyone who reaches the listener could drain one endpoint after another until none
+    serves. Paths need the key unless listed as public, so a new path is protected by default.
 
     Args:
-        digests: SHA-256 of each key that is taken; without any, everything is open.
+        digests: SHA-256 digests of the accepted keys; if empty, no key is required.
     """
 
     def __init__(self, app: Asgi, digests: tuple[str, ...]) -> None:
@@ -46,27 +46,27 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
-        if not self._digests or scope["path"] in _OPEN_PATHS or self._knows(scope):
+        if not self._digests or scope["path"] in _PUBLIC_PATHS or self._has_operator_key(scope):
             await self._app(scope, receive, send)
             return
         message = "expected an operator's key as 'Authorization: Bearer KEY'"
         refusal = Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
         await respond(send, 401, refusal_body(refusal, ""), [(b"www-authenticate", b"Bearer")])
 
-    def _knows(self, scope: Scope) -> bool:
+    def _has_operator_key(self, scope: Scope) -> bool:
         given: bytes = dict(scope["headers"]).get(b"authorization", b"")
         return shows_key(given, self._digests)
 
 
 def operator_keys(process: ProcessSettings) -> tuple[str, ...]:
-    """Return the digests of a process's settings, checked.
+    """Return the validated operator key digests from a process's settings.
 
     Raises:
-        StartError: When one is not a digest, or there is none and others could reach the listener.
+        StartError: If a digest is malformed, or none is set and the listener is not on loopback.
     """
     digests = process.operator_keys_sha256
     for digest in digests:
-        if not _SHA256.fullmatch(digest):
+        if not _SHA256_HEX.fullmatch(digest):
             expected = "64 lowercase hexadecimal digits each"
             raise StartError(f"process.operator_keys_sha256: expected {expected}, got {digest!r}")
     if not digests and not _is_loopback(process.operator_listen):
@@ -93,7 +93,7 @@
 ) -> Starlette:
     """Return the application of the operator listener.
 
-    It shows request ids and can drain the process; :class:`OperatorKeys` stands before it.
+    It exposes request ids and can drain the process, so wrap it in :class:`OperatorKeys`.
     """
 
     async def show_metrics(_: Request) -> Response:
@@ -110,7 +110,7 @@
         stamp = request.headers.get(HLC_HEADER.decode(), "").encode()
         timeline.clock.heard_stamp(stamp)
         events = timeline.events(request.query_params.get("request_id"))
-        events = events[-int(request.query_params.get("last", _LAST_EVENTS)) :]
+        events = events[-int(request.query_params.get("last", _DEFAULT_EVENT_COUNT)) :]
         body = json.dumps({"events": [attrs.astuple(event) for event in events]})
         return Response(body, media_type="application/json")
 
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -1,4 +1,4 @@
-"""The life of one process: listeners, host list, settings, and a stop that cuts nothing."""
+"""Lifecycle of one process: listeners, host list, settings and graceful shutdown."""
 
 import contextlib
 import functools
@@ -48,12 +48,12 @@
 
 
 class Node:
-    """One entry or sidecar with everything around it.
+    """An entry or sidecar process with its listeners, clients, metrics and settings.
 
     Args:
-        kind: Class of the role, for what is to be known before the role is made.
-        make_role: Makes the role from the tools that it gets.
-        view: Settings to start with, until those on the log are read.
+        kind: Class of the role; its class attributes are needed before the role exists.
+        make_role: Creates the role from the shared clients and callbacks.
+        view: Settings to use until those on the log have been read.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.hosts = HostFollower(hosts, role.take_hosts, role.timeline)
         self._follower = self._settings_follower(process)
         server_tls = self._tls.server if self._tls is not None else None
-        self.requests = Server(self._front(process), bind(process.listen), server_tls)
+        self.requests = Server(self._request_app(process), bind(process.listen), server_tls)
         operator = operator_app(role.timeline, self.metrics, self.status, self.drain)
         guarded = OperatorKeys(operator, operator_keys(process))
         operator_tls = self._tls.operator if self._tls is not None else None
@@ -99,7 +99,7 @@
         return cls(file.process, SidecarRole, make, view)
 
     def status(self) -> NodeStatus:
-        """Return what the process says of itself."""
+        """Return the status of the process."""
         process = self.role.process
         common = NodeStatus(
             self.role.name,
@@ -113,7 +113,7 @@
         return self.role.status(common)
 
     def drain(self, leaving: bool = True) -> None:
-        """Take no new work, or take it again; a process that stops does not come back."""
+        """Start or end a drain; has no effect once the process is stopping."""
         if self._leaving == leaving or self._stopping.is_set():
             return
         self._leaving = leaving
@@ -121,16 +121,16 @@
         self.role.drain(leaving)
 
     def stop(self) -> None:
-        """Drain, finish what is in flight and end; a second call changes nothing."""
+        """Drain, finish requests in flight and exit; further calls have no effect."""
         self.drain()
         self._stopping.set()
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
-        """Run until stopped; the operator listener is there to the end, to watch the stop."""
+        """Run until stopped; the operator listener stays up to the end to observe the stop."""
         try:
             async with anyio.create_task_group() as background:
                 await background.start(self.operator.run_until_stopped)
-                await background.start(self._keep_pools)
+                await background.start(self._hold_pools_open)
                 await background.start(self.role.run)
                 self._start_followers(background)
                 await self._serve(task_status)
@@ -139,7 +139,7 @@
             self.ended.set()
 
     async def run_until_signal(self) -> None:
-        """Run until SIGTERM or SIGINT; further signals don't hurry a stop that is under way."""
+        """Run until SIGTERM or SIGINT; further signals do not shorten a stop in progress."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._stop_on_signal)
             await self.run()
@@ -160,15 +160,15 @@
             self.role.timeline.add("serving", detail=self.requests.address)
             task_status.started()
             await self._stopping.wait()
-            await self._wind_down()
+            await self._drain_and_close()
         self.role.timeline.add("stopped")
 
-    async def _wind_down(self) -> None:
-        """Serve on until the others know, then end what is in flight and close.
+    async def _drain_and_close(self) -> None:
+        """Wait until senders have noticed the drain, then finish requests in flight and close.
 
-        A sidecar refuses new work from the start, and its senders go elsewhere. An entry goes on
-        serving meanwhile: a caller that it refused would see an error for a planned stop, since
-        the balancer needs a probe or two to notice.
+        A sidecar refuses new work immediately and the entries go elsewhere. An entry keeps serving
+        during the wait: the load balancer needs a probe or two to notice the drain, and until then
+        a refused caller would see an error for a planned stop.
         """
         await anyio.sleep(SETTLE_S)
         stop = GracefulStop(self.role.part, [self.requests], settle_s=0.0)
@@ -181,8 +181,8 @@
                 self.role.timeline.add("signal", detail=signal.Signals(number).name)
                 self.stop()
 
-    async def _keep_pools(self, *, task_status: Any) -> None:
-        """Close the pools when the process ends."""
+    async def _hold_pools_open(self, *, task_status: Any) -> None:
+        """Keep the connection pools open and close them when cancelled."""
         async with contextlib.AsyncExitStack() as stack:
             for pool in self._pools.values():
                 await stack.enter_async_context(pool)
@@ -190,7 +190,7 @@
             await anyio.sleep_forever()
 
     def _pool(self, purpose: str) -> httpcore.AsyncConnectionPool:
-        """Return a pool whose traffic is counted as control; the platform's own has no TLS."""
+        """Return a pool whose traffic counts as control traffic; platform pools have no TLS."""
         backend = CountingBackend(functools.partial(self.metrics.count_control, purpose))
         return client_pool(self._client_tls if purpose in _FLEET_POOLS else None, backend)
 
@@ -204,12 +204,12 @@
             fleet=self._pools["fleet"],
             peers=self._pools["peers"],
             settings_version=lambda: self.settings.version,
-            on_newer=self._note_newer,
+            on_newer=self._note_newer_settings,
             log=self._log if process.log_address else None,
         )
 
-    def _note_newer(self, endpoint_id: str, version: int) -> None:
-        """Remember who has newer settings: while the log is down, that one is asked next."""
+    def _note_newer_settings(self, endpoint_id: str, version: int) -> None:
+        """Remember a peer with newer settings; it is asked next while the log is down."""
         row = self.hosts.view.rows.get(endpoint_id)
         if row is not None:
             self._peers.note_newer(row.address)
@@ -231,16 +231,16 @@
         self.role.timeline.add("settings_applied", detail=f"version={view.version}")
 
     def _peer_addresses(self) -> list[str]:
-        """Return the sidecars on the list."""
+        """Return the addresses of the sidecars on the host list."""
         return [row.address for row in self.hosts.view.rows.values() if row.endpoint_id]
 
     def _own_address(self) -> str:
-        """Return where others meet this sidecar; empty for an entry, which they don't meet."""
+        """Return this sidecar's address on the host list; empty for an entry, which has none."""
         own = self.role.process.host
         rows = self.hosts.view.rows.values()
         return next((row.address for row in rows if row.endpoint_id and row.host == own), "")
 
-    def _front(self, process: ProcessSettings) -> Asgi:
+    def _request_app(self, process: ProcessSettings) -> Asgi:
         async def show_settings(scope: Scope, receive: Receive, send: Send) -> None:
             await answer_settings(self.settings, self._follower.take, scope, receive, send)
 
@@ -249,7 +249,7 @@
         return FleetFront(metered, process.fleet_key, routes, self._refusal, self._count_answer)
 
     def _refusal(self) -> Refusal | None:
-        """Refuse while there are no settings: without them every API key would seem unknown."""
+        """Return a refusal until settings are read; without them every API key is unknown."""
         if self._view.services:
             return None
         message = "this process has read no settings yet; ask another one or come back"
@@ -277,12 +277,12 @@
             "beryl_requests_waiting": ("Requests that wait for the endpoint.", "waiting"),
         }
         for name, (documentation, field) in gauges.items():
-            self.metrics.watch(name, documentation, _reader(self, field))
+            self.metrics.watch(name, documentation, _status_reader(self, field))
         for alarm in attrs.fields(Alarms):
             documentation = f"Alarm of the settings: {alarm.name.replace('_', ' ')}."
             read = functools.partial(getattr, self.settings.alarms, alarm.name)
             self.metrics.watch(f"beryl_settings_{alarm.name}", documentation, read)
 
 
-def _reader(node: Node, field: str) -> Callable[[], float]:
+def _status_reader(node: Node, field: str) -> Callable[[], float]:
     return lambda: float(getattr(node.status(), field))
--- a/src/beryljunction/node/roles.py
+++ b/src/beryljunction/node/roles.py
@@ -1,4 +1,4 @@
-"""What the wiring of a process asks of its role, and what it gives to it."""
+"""Interface between the common process wiring and the role of a process."""
 
 import abc
 import ssl
@@ -22,15 +22,15 @@
 
 @attrs.frozen
 class RoleTools:
-    """What the wiring gives to a role.
+    """Clients and callbacks that the process provides to its role.
 
     Attributes:
-        tls: Context for calls to other processes; None without TLS.
+        tls: TLS context for calls to other processes; None without TLS.
         fleet: Pool for control calls to other processes.
-        peers: Pool for the exchange of load, counted apart.
-        settings_version: Version of the settings in force here.
-        on_newer: Told of an endpoint's sidecar that has newer settings, with their version.
-        log: The platform's log; None for a process that has none.
+        peers: Pool for exchanging load, counted separately in the metrics.
+        settings_version: Returns the version of the current settings.
+        on_newer: Called with the endpoint id of a peer that has newer settings, and their version.
+        log: Client of the platform's log; None if no log is configured.
     """
 
     tls: ssl.SSLContext | None
@@ -45,9 +45,9 @@
     """The part of a process that differs between entry and sidecar.
 
     Attributes:
-        is_mutual: Whether the request listener takes only clients with a certificate.
-        part: What a stop waits for.
-        routes: Control paths of the role, for other processes of the fleet.
+        is_mutual: Whether the request listener requires client certificates (mutual TLS).
+        part: The component that a graceful stop waits for.
+        routes: Handlers of the control paths that other fleet processes call.
     """
 
     name: str
@@ -60,20 +60,20 @@
 
     @abc.abstractmethod
     async def run(self, *, task_status: Any) -> None:
-        """Do the role's own work in the background until cancelled."""
+        """Run the role's background tasks until cancelled."""
 
     @abc.abstractmethod
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
 
     @abc.abstractmethod
     def take_hosts(self, rows: list[HostRow]) -> None:
-        """Take in the hosts as the list has them now."""
+        """Update the role with all rows of the current host list."""
 
     @abc.abstractmethod
     def drain(self, leaving: bool) -> None:
-        """Leave, or come back: who sends work is told to send it elsewhere."""
+        """Start or end a drain; while draining, senders are told to send work elsewhere."""
 
     @abc.abstractmethod
     def status(self, status: NodeStatus) -> NodeStatus:
-        """Return the status with the role's own figures filled in."""
+        """Return the status with the role's own fields filled in."""
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -1,4 +1,4 @@
-"""What a sidecar adds to the wiring that all processes share."""
+"""The role of a sidecar within the common process wiring."""
 
 from typing import Any
 
@@ -27,22 +27,22 @@
 __all__ = ["SidecarRole"]
 
 _ENGINE = "engine"
-_SETTINGS_S = 0.5
-# No promise that another endpoint serves: in a fleet that has just started all of them load.
-_LOADING = "the engine is loading a model; ask another endpoint, or come back later"
+_SETTINGS_POLL_S = 0.5
+# Doesn't promise that another endpoint serves: in a newly started fleet all may be loading.
+_LOADING_MESSAGE = "the engine is loading a model; ask another endpoint, or come back later"
 
 
 class _AdmissionGate(WorkGate):
-    """Pauses admission while the engine loads; what runs is never touched."""
+    """Pauses admission while the engine loads a model; running requests continue."""
 
     def __init__(self, sidecar: SidecarApp) -> None:
         self._sidecar = sidecar
 
     def set_open(self, is_open: bool) -> None:
-        self._sidecar.admission.paused = "" if is_open else _LOADING
+        self._sidecar.admission.paused = "" if is_open else _LOADING_MESSAGE
 
     def running(self) -> int:
-        # What waits was admitted too and may start at any moment.
+        # Includes waiting requests, which have been admitted and may start at any moment.
         return len(self._sidecar.admission.requests)
 
 
@@ -75,7 +75,7 @@
         self.routes = {PEERS_PATH: self.exchange, ORDERS_PATH: self._answer_orders}
 
     async def run(self, *, task_status: Any) -> None:
-        """Tick the sidecar's systems, exchange load, and keep the engine as the settings want."""
+        """Run the sidecar, exchange load with peers, and have the engine follow the settings."""
         async with self._engine_pool, anyio.create_task_group() as group:
             await group.start(self.sidecar.run)
             await group.start(self.exchange.run)
@@ -83,36 +83,36 @@
             task_status.started()
 
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
         self.sidecar.apply(self._with_service(view))
 
     def take_hosts(self, rows: list[HostRow]) -> None:
-        """Take in the peers; leave for as long as the list says that this host is leaving.
+        """Update the peers, and drain for as long as the list marks this host as leaving.
 
-        A lagging list may still show the row of the host that stood in this slot before. It has
-        another name and says nothing of this one.
+        A lagging list may still show the previous host of this endpoint id. That row has another
+        host name and is not applied to this host.
         """
         self._peer_addresses = {
             row.endpoint_id: row.address
             for row in rows
             if row.service == self.file.service and row.endpoint_id != self.file.endpoint_id
         }
-        # A roll-out is paced within a region: endpoints that don't answer count as loading, and a
-        # region that is cut off for an hour would stop every load in the others.
+        # Model roll-outs are limited per region. Endpoints that don't answer count as loading, so a
+        # region cut off for an hour would otherwise block every load in the other regions.
         region = {row.endpoint_id for row in rows if row.region == self.process.region}
         own = self._peer_addresses.items()
         self._region_addresses = {key: address for key, address in own if key in region}
         self.exchange.set_peers(self._peer_addresses)
-        _keep(self.sidecar.members, rows)
+        _sync_table(self.sidecar.members, rows)
         for row in rows:
             if row.endpoint_id == self.file.endpoint_id and row.host == self.process.host:
                 self._listed_leaving = row.state == LEAVING
-        self._settle_leaving()
+        self._update_leaving()
 
     def drain(self, leaving: bool) -> None:
-        """Refuse new work with a "not run", so that entries go elsewhere, or take it again."""
+        """Refuse new work as "not run", so that entries go elsewhere, or accept it again."""
         self._drained = leaving
-        self._settle_leaving()
+        self._update_leaving()
 
     def status(self, status: NodeStatus) -> NodeStatus:
         """Add the endpoint and its load."""
@@ -132,8 +132,8 @@
         admission = self.sidecar.admission
         return LEAVING if admission.leaving else admission.paused
 
-    def _settle_leaving(self) -> None:
-        """Leave while either an operator or the list wants it; neither undoes the other's word."""
+    def _update_leaving(self) -> None:
+        """Drain while an operator or the host list requests it; neither cancels the other."""
         leaving = self._drained or self._listed_leaving
         self.sidecar.admission.leaving = leaving
         self.orders.leaving = leaving
@@ -152,9 +152,9 @@
         )
 
     async def _run_orders(self) -> None:
-        """Give orders once there are settings, and to engines only."""
+        """Run model load orders once settings are read; plain services get none."""
         while self.sidecar.view.version == 0:
-            await anyio.sleep(_SETTINGS_S)
+            await anyio.sleep(_SETTINGS_POLL_S)
         if self._service.kind == _ENGINE:
             await self.orders.run()
 
@@ -162,17 +162,17 @@
         await answer_orders(self.orders.hear, self.orders.row, receive, send)
 
     def _with_service(self, view: FleetView) -> FleetView:
-        """Return a view that has the endpoint's service.
+        """Return a view that contains the endpoint's service, if need be with its last settings.
 
-        Settings that lack it come from an operator's oversight or, at the start, from a log that
-        has not been read. Its endpoint goes on with what it had: no entry sends it work anyway.
+        The service is missing if an operator removed it by mistake or, at startup, if the log has
+        not been read yet. The endpoint keeps its last settings: no entry sends it work anyway.
         """
         self._service = view.services.get(self.file.service, self._service)
         return attrs.evolve(view, services={**view.services, self.file.service: self._service})
 
 
-def _keep(table: EndpointTable, rows: list[HostRow]) -> None:
-    """Make an endpoint table what the list says."""
+def _sync_table(table: EndpointTable, rows: list[HostRow]) -> None:
+    """Update an endpoint table to match the host list."""
     listed = {row.endpoint_id for row in rows}
     for known in table:
         if known.endpoint_id not in listed:
--- a/src/beryljunction/node/traffic.py
+++ b/src/beryljunction/node/traffic.py
@@ -1,4 +1,4 @@
-"""Counts the bytes that a process spends on control, as they go over its connections."""
+"""Counts the bytes of a process's control traffic on its client connections."""
 
 import ssl
 from collections.abc import Callable, Iterable
@@ -10,9 +10,9 @@
 
 
 class CountingBackend(httpcore.AsyncNetworkBackend):
-    """A network backend that tells how many bytes were sent and received.
+    """An httpcore network backend that counts bytes sent and received.
 
-    Counted are HTTP heads and bodies; the framing of TLS, TCP and IP comes on top.
+    The count covers HTTP heads and bodies, without TLS, TCP and IP overhead.
     """
 
     def __init__(self, count: Callable[[int, int], None]) -> None:
