--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -38,13 +38,13 @@
     return "asyncio"
 
 
-async def ask(path, entry, target=CHAT, *, method="POST", headers=(AUTH,), body=None):
+async def send_request(path, entry, target=CHAT, *, method="POST", headers=(AUTH,), body=None):
     content = chat() if body is None else body
     return await path.pool.request(method, entry + target, headers=list(headers), content=content)
 
 
 async def send_slowly(path, entry, size_bytes):
-    """Send part of a body that never ends."""
+    """Send the first bytes of a chunked body that is never completed."""
 
     async def parts():
         yield b"x" * size_bytes
@@ -58,7 +58,7 @@
     return [line[4:] for line in body.split(b"\n") if line.startswith(b"id: ")][-1]
 
 
-class TestCallers:
+class TestRequestChecks:
     @pytest.mark.parametrize(
         ("target", "headers", "body", "status"),
         [
@@ -74,27 +74,29 @@
             pytest.param(CHAT, [AUTH, ("x-long", "x" * 2_000)], b"", 413, id="long-headers"),
         ],
     )
-    async def test_bad_input_is_a_typed_error_that_did_not_run(self, target, headers, body, status):
+    async def test_bad_input_is_refused_as_not_run(self, target, headers, body, status):
         limits = LimitSettings(body_bytes=1_000, header_bytes=1_000)
         async with path_of(view_with(limits=limits)) as path:
-            answer = await ask(path, await path.entry(), target, headers=headers, body=body)
+            answer = await send_request(
+                path, await path.entry(), target, headers=headers, body=body
+            )
 
         error = error_of(answer)
         assert (answer.status, error["ran"]) == (status, "no")
         assert error["type"] == "invalid_request_error"
         assert error["message"]
 
-    async def test_head_that_never_ends_costs_the_caller_its_connection(self):
+    async def test_endless_request_head_closes_the_connection(self):
         async with path_of() as path:
             host, _, port = (await path.entry()).removeprefix("http://").rpartition(":")
             async with await anyio.connect_tcp(host, int(port)) as caller:
                 await caller.send(b"POST /v1/chat/completions HTTP/1.1\r\nx-long: ")
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
-                    await send_for_ever(caller)
+                    await send_forever(caller)
 
-    async def test_more_than_it_may_serve_are_told_when_to_come_back(self):
+    async def test_request_over_the_connection_limit_gets_retry_after(self):
         async with path_of(view_with(limits=LimitSettings(connections=0))) as path:
-            answer = await ask(path, await path.entry())
+            answer = await send_request(path, await path.entry())
 
         assert (answer.status, error_of(answer)["ran"]) == (503, "no")
         assert dict(answer.headers)[b"retry-after"] == b"1"
@@ -105,11 +107,11 @@
         [((), "no", None), ((("idempotency-key", "fee-7"),), "unknown", "no")],
         ids=["first", "with-a-key"],
     )
-    async def test_account_that_uploads_too_much_is_refused_and_others_are_not(
+    async def test_upload_limit_refuses_only_the_account_that_exceeds_its_share(
         self, header, names, ran, try_ran
     ):
-        # One account sends a long body that never ends. Its next one would go beyond its part of
-        # the bound and is refused before it is read; another account's request runs.
+        # One account has an unfinished upload. Its next upload would exceed the account's share of
+        # the limit and is refused before it is read; another account's request runs.
         limits = LimitSettings(body_bytes=800, upload_bytes=1_000)
         async with path_of(view_with(limits=limits)) as path, anyio.create_task_group() as group:
             await path.sidecar(ScriptedEngine())
@@ -119,8 +121,12 @@
             length = (
                 ("content-length", "600") if header == "content-length" else (header, "chunked")
             )
-            refused = await ask(path, entry, headers=[AUTH, length, *names], body=b"x" * 600)
-            other = await ask(path, entry, headers=[("authorization", f"Bearer {OTHER_KEY}")])
+            refused = await send_request(
+                path, entry, headers=[AUTH, length, *names], body=b"x" * 600
+            )
+            other = await send_request(
+                path, entry, headers=[("authorization", f"Bearer {OTHER_KEY}")]
+            )
             group.cancel_scope.cancel()
 
         error = error_of(refused)
@@ -131,18 +137,18 @@
 
     async def test_models_are_listed_as_chat_clients_expect(self):
         async with path_of() as path:
-            answer = await ask(path, await path.entry(), "/v1/models", method="GET")
+            answer = await send_request(path, await path.entry(), "/v1/models", method="GET")
 
         listed = json.loads(answer.content)
         assert (listed["object"], [row["id"] for row in listed["data"]]) == ("list", ["drafter"])
 
-    async def test_plain_service_gets_method_path_headers_and_body_whole(self):
+    async def test_plain_service_receives_method_path_headers_and_body(self):
         async with path_of() as path:
             engine = ScriptedEngine(status=503)
             await path.sidecar(engine, "ledger")
             headers = [AUTH, ("x-tag", "a"), ("accept", "text/plain")]
 
-            answer = await ask(
+            answer = await send_request(
                 path,
                 await path.entry(),
                 "/services/ledger/notes?of=7",
@@ -158,13 +164,13 @@
         assert (answer.status, dict(answer.headers)[b"x-own"]) == (503, b"kept")
 
 
-async def send_for_ever(stream):
+async def send_forever(stream):
     while True:
         await stream.send(b"x" * 10_000)
 
 
 class ScriptedSidecar:
-    """Answers each connection with the next script of frames; keeps what attaches asked for."""
+    """Sends the next script's frames on each connection; records where attaches resume."""
 
     def __init__(self, *scripts):
         self.scripts = list(scripts)
@@ -189,14 +195,14 @@
         await send({"type": "http.response.body", "body": b""})
 
 
-class TestWholeAnswers:
+class TestAnswerRecovery:
     @pytest.mark.parametrize(
         ("scripts", "asked_after"),
         [
             pytest.param([[1, 1, 2, 1, 3, 2, 4]], [], id="duplicated-and-late"),
-            pytest.param([[1, 3, 4], [1, 2, 3, 4]], [1], id="gap-is-asked-for-again"),
+            pytest.param([[1, 3, 4], [1, 2, 3, 4]], [1], id="gap-is-requested-again"),
             pytest.param([[1, 2], [3, 4]], [2], id="end-without-the-last-frame"),
-            pytest.param([[], [], [1, 2, 3, 4]], [0, 0], id="nothing-at-first"),
+            pytest.param([[], [], [1, 2, 3, 4]], [0, 0], id="empty-connections-first"),
         ],
     )
     async def test_frames_reach_the_caller_in_order_and_once(self, scripts, asked_after):
@@ -205,25 +211,25 @@
             address = await path.serve(sidecar)
             path.endpoints.put(Endpoint("drafter-0", "drafter", "ahd-a", address))
 
-            answer = await ask(path, await path.entry())
+            answer = await send_request(path, await path.entry())
 
         assert event_data(answer.content) == [b"a", b"b", b"c", b"[DONE]"]
         assert sidecar.asked_after == asked_after
 
-    async def test_sidecar_that_never_completes_is_given_up_with_an_error(self):
+    async def test_repeatedly_incomplete_stream_ends_with_an_error(self):
         async with path_of() as path:
             address = await path.serve(ScriptedSidecar([1], [1], [1], [1]))
             path.endpoints.put(Endpoint("drafter-0", "drafter", "ahd-a", address))
 
-            answer = await ask(path, await path.entry())
+            answer = await send_request(path, await path.entry())
 
         assert b"[DONE]" not in answer.content
         assert b"event: error" in answer.content
 
-    async def test_connection_gone_silent_is_replaced(self):
-        # Something between entry and sidecar loses track of the open connection: no byte passes
-        # on it any more, new ones work. The entry notices the silence, attaches anew after the
-        # last frame, and its caller reads one whole answer on its own one connection.
+    async def test_silent_connection_is_replaced(self):
+        # A device between entry and sidecar drops its state of the open connection: no byte passes
+        # on it any more, while new connections work. The entry must notice the silence and reattach
+        # after the last frame, so that the caller reads a complete answer on one connection.
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=3)
             app = await path.sidecar(engine, proxy=True)
@@ -239,16 +245,17 @@
         assert event_data(body) == engine.answer()
         assert (len(engine.runs), path.hole.connections) == (1, 2)
 
-    async def test_idle_connections_that_went_silent_too_are_not_used(self):
-        # Whatever lost track of the stream's connection has lost track of the idle ones as well.
-        # Each that was tried in its place would be silent, and after three the answer given up.
+    async def test_idle_connections_are_dropped_after_one_goes_silent(self):
+        # A device that drops its state of the stream's connection drops the idle ones too. If the
+        # entry reattached on idle connections, each would stay silent, and after three of them it
+        # would give up the answer.
         async with path_of() as path:
             engine = ScriptedEngine()
             app = await path.sidecar(engine, proxy=True)
             entry = await path.entry()
             async with anyio.create_task_group() as group:
                 for _ in range(12):
-                    group.start_soon(ask, path, entry)
+                    group.start_soon(send_request, path, entry)
             engine.hold_at = 3
             async with path.pool.stream(
                 "POST", entry + CHAT, headers=[AUTH], content=chat()
@@ -261,7 +268,7 @@
 
         assert event_data(body) == engine.answer()
 
-    async def test_silence_before_the_answer_is_no_second_run(self):
+    async def test_silence_before_the_answer_does_not_run_the_request_again(self):
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=0)
             await path.sidecar(engine, "ledger", proxy=True)
@@ -269,7 +276,7 @@
             answers = []
 
             async def note():
-                answers.append(await ask(path, entry, "/services/ledger/n", body=b"{}"))
+                answers.append(await send_request(path, entry, "/services/ledger/n", body=b"{}"))
 
             async with anyio.create_task_group() as group:
                 group.start_soon(note)
@@ -280,19 +287,19 @@
 
         assert (answers[0].status, len(engine.runs)) == (200, 1)
 
-    async def test_answer_that_can_not_be_completed_ends_in_an_error(self):
+    async def test_stream_that_the_engine_breaks_off_ends_with_an_error(self):
         async with path_of() as path:
             engine = ScriptedEngine(break_at=3, resumes=False)
             await path.sidecar(engine)
-            answer = await ask(path, await path.entry())
+            answer = await send_request(path, await path.entry())
 
         *events, last = event_data(answer.content)
         assert events == engine.answer()[:3]
         assert json.loads(last)["error"]["ran"] == "yes"
 
-    async def test_sidecar_that_was_replaced_leaves_the_outcome_unknown(self):
-        # The sidecar stops taking connections for good after the note was sent. Whether the note
-        # was written can't be known any more, and the caller is told exactly that.
+    async def test_unreachable_sidecar_leaves_the_outcome_unknown(self):
+        # The sidecar becomes permanently unreachable after the request was sent. Whether it ran
+        # can't be determined any more, and the error must say so.
         async with path_of(view_with(silence_s=0.4)) as path:
             engine = ScriptedEngine(hold_at=0)
             app = await path.sidecar(engine, "ledger", proxy=True)
@@ -300,7 +307,7 @@
             answers = []
 
             async def note():
-                answers.append(await ask(path, entry, "/services/ledger/n", body=b"{}"))
+                answers.append(await send_request(path, entry, "/services/ledger/n", body=b"{}"))
 
             async with anyio.create_task_group() as group:
                 group.start_soon(note)
@@ -313,23 +320,23 @@
         assert (len(engine.runs), len(app.runs)) == (1, 1)
 
 
-class TestTruth:
-    async def test_refusal_after_a_try_in_doubt_is_not_a_no(self):
-        # The first endpoint breaks off without an answer: the request may have run there. The next
-        # refuses it as not run. All that is known of the request is that it may have run.
+class TestReportedOutcome:
+    async def test_refusal_after_an_attempt_of_unknown_outcome_is_unknown(self):
+        # The first endpoint breaks off without an answer, so the request may have run there. The
+        # next one refuses it as not run. The caller must be told that it may have run.
         async with path_of() as path:
             for _ in range(2):
                 await path.sidecar(ScriptedEngine(), address=await path.breaking_endpoint())
             entry = await path.entry()
             path.sidecars[0].refuse_new()
-            answers = [await ask(path, entry, body=chat(stream=False)) for _ in range(6)]
+            answers = [await send_request(path, entry, body=chat(stream=False)) for _ in range(6)]
 
         said = {error_of(answer)["ran"] for answer in answers}
         assert said == {"unknown"}
 
 
 class TestResume:
-    async def test_at_another_entry_goes_on_after_the_last_event(self):
+    async def test_another_entry_continues_after_the_last_event(self):
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=2)
             await path.sidecar(engine)
@@ -345,7 +352,7 @@
                         break
             engine.release.set()
 
-            rest = await ask(
+            rest = await send_request(
                 path,
                 second,
                 f"/v1/streams/{stream_id}",
@@ -357,14 +364,14 @@
         assert event_data(seen) + event_data(rest.content) == engine.answer()
         assert len(engine.runs) == 1
 
-    async def test_of_another_account_is_not_found(self):
+    async def test_stream_of_another_account_is_not_found(self):
         async with path_of() as path:
             engine = ScriptedEngine()
             await path.sidecar(engine)
             entry = await path.entry()
-            stream_id = dict((await ask(path, entry)).headers)[b"beryl-stream-id"].decode()
+            stream_id = dict((await send_request(path, entry)).headers)[b"beryl-stream-id"].decode()
 
-            stolen = await ask(
+            answer = await send_request(
                 path,
                 entry,
                 f"/v1/streams/{stream_id}",
@@ -373,20 +380,22 @@
                 body=b"",
             )
 
-        assert (stolen.status, b"word" in stolen.content) == (404, False)
+        assert (answer.status, b"word" in answer.content) == (404, False)
 
-    async def test_of_an_earlier_start_of_the_sidecar_is_not_mixed_with_a_later_run(self):
-        # A caller reads two words and its connection breaks. The sidecar is replaced, a late copy
-        # of the request runs there again, with the same id. The rest of that run has the right
-        # numbers and the wrong words: the caller must not get it as the end of its answer.
+    async def test_stream_of_an_earlier_incarnation_is_not_mixed_with_a_later_run(self):
+        # A caller's connection breaks after two events. The sidecar is replaced, and a late copy of
+        # the request runs there with the same id. The events of that run have matching numbers but
+        # other content, so the caller must not get them as the rest of its answer.
         async with path_of() as path:
             await path.sidecar(ScriptedEngine())
             entry = await path.entry()
-            stream_id = dict((await ask(path, entry)).headers)[b"beryl-stream-id"].decode()
+            stream_id = dict((await send_request(path, entry)).headers)[b"beryl-stream-id"].decode()
             endpoint_id, _, request_id = stream_id.rsplit(".", 2)
             earlier = f"{endpoint_id}.earlier.{request_id}"
             headers = [AUTH, ("last-event-id", f"{earlier}.2")]
-            rest = await ask(path, entry, f"/v1/streams/{earlier}", method="GET", headers=headers)
+            rest = await send_request(
+                path, entry, f"/v1/streams/{earlier}", method="GET", headers=headers
+            )
 
         assert (rest.status, error_of(rest)["ran"]) == (404, "unknown")
         assert b"word" not in rest.content
@@ -398,13 +407,17 @@
             engine = ScriptedEngine(hold_at=0)
             await path.sidecar(engine, "ledger")
             entries = [await path.entry(), await path.entry()]
-            granted = await ask(path, entries[0], "/v1/tickets", body=b'{"service": "ledger"}')
+            granted = await send_request(
+                path, entries[0], "/v1/tickets", body=b'{"service": "ledger"}'
+            )
             headers = [AUTH, ("beryl-ticket", json.loads(granted.content)["ticket"])]
             answers = []
 
             async def note(entry):
                 answers.append(
-                    await ask(path, entry, "/services/ledger/n", headers=headers, body=b"{}")
+                    await send_request(
+                        path, entry, "/services/ledger/n", headers=headers, body=b"{}"
+                    )
                 )
 
             async with anyio.create_task_group() as group:
@@ -417,54 +430,60 @@
         assert [answer.content for answer in answers] == [b'{"whole": true}'] * 3
         assert len(engine.runs) == 1
 
-    async def test_endpoint_that_leaves_hands_the_request_on_once(self):
+    async def test_leaving_endpoint_passes_each_request_on_once(self):
         async with path_of() as path:
             engines = [ScriptedEngine(), ScriptedEngine()]
             sidecars = [await path.sidecar(engine, "ledger") for engine in engines]
             entry = await path.entry()
             for _ in range(4):
-                await ask(path, entry, "/services/ledger/n", body=b"{}")
+                await send_request(path, entry, "/services/ledger/n", body=b"{}")
             before = sum(len(engine.runs) for engine in engines)
             sidecars[0].refuse_new()
             gone = len(engines[0].runs)
 
-            answers = [await ask(path, entry, "/services/ledger/n", body=b"{}") for _ in range(6)]
+            answers = [
+                await send_request(path, entry, "/services/ledger/n", body=b"{}") for _ in range(6)
+            ]
 
         assert [answer.status for answer in answers] == [200] * 6
         assert len(engines[0].runs) == gone
         assert len(engines[1].runs) + gone == before + 6
 
-    async def test_entry_that_has_heard_of_nobody_goes_past_a_leaving_endpoint(self):
-        # An entry has just started and places its first calls at a sidecar that leaves. It has no
-        # stamp of another sidecar to name as successor, so the ticket is burned without one. The
-        # caller must not get a "not run" while the other endpoint has room.
+    async def test_entry_without_stamps_skips_a_leaving_endpoint(self):
+        # A newly started entry sends its first calls to a leaving sidecar. It has no stamp of
+        # another sidecar to name as successor, so the ticket is burned without one. The caller must
+        # not get "not run" while the other endpoint has room.
         async with path_of() as path:
             engines = [ScriptedEngine(), ScriptedEngine()]
             sidecars = [await path.sidecar(engine, "ledger") for engine in engines]
             sidecars[0].refuse_new()
 
             entries = [await path.entry() for _ in range(6)]
-            answers = [await ask(path, one, "/services/ledger/n", body=b"{}") for one in entries]
+            answers = [
+                await send_request(path, one, "/services/ledger/n", body=b"{}") for one in entries
+            ]
 
         assert [answer.status for answer in answers] == [200] * 6
         assert [len(engine.runs) for engine in engines] == [0, 6]
 
-    async def test_ticket_of_another_service_does_not_run(self):
+    async def test_ticket_of_another_service_is_refused(self):
         async with path_of() as path:
             engine = ScriptedEngine()
             await path.sidecar(engine)
             await path.sidecar(engine, "ledger")
             entry = await path.entry()
-            granted = await ask(path, entry, "/v1/tickets", body=b'{"service": "drafter"}')
+            granted = await send_request(path, entry, "/v1/tickets", body=b'{"service": "drafter"}')
             headers = [AUTH, ("beryl-ticket", json.loads(granted.content)["ticket"])]
 
-            answer = await ask(path, entry, "/services/ledger/n", headers=headers, body=b"{}")
+            answer = await send_request(
+                path, entry, "/services/ledger/n", headers=headers, body=b"{}"
+            )
 
         assert (error_of(answer)["code"], error_of(answer)["ran"]) == ("ticket_invalid", "no")
         assert engine.runs == []
 
 
-class TestQuietHours:
+class TestIdlePeriod:
     @pytest.mark.parametrize(
         ("service", "target"),
         [
@@ -472,17 +491,17 @@
             pytest.param("ledger", "/services/ledger/n", id="may-not-be-repeated"),
         ],
     )
-    async def test_first_request_after_a_long_pause_runs_at_once(self, service, target):
-        # No request reaches an endpoint for an hour, and the stamp that the entry has of its
-        # sidecar is as old. The next request must not be taken for one that was sent back then.
+    async def test_first_request_after_an_idle_hour_is_not_refused(self, service, target):
+        # An endpoint gets no request for an hour, so the entry's stamp of its sidecar is an hour
+        # old. The next request must not be mistaken for one that was sent an hour ago.
         async with path_of() as path:
             engine = ScriptedEngine()
             app = await path.sidecar(engine, service)
             entry = await path.entry()
-            await ask(path, entry, target)
+            await send_request(path, entry, target)
             pass_time(path, app, 3_600.0)
 
-            answer = await ask(path, entry, target)
+            answer = await send_request(path, entry, target)
 
         events = [event.kind for event in path.entry_app.timeline.events()]
         assert (answer.status, len(engine.runs)) == (200, 2)
@@ -490,7 +509,7 @@
 
 
 def pass_time(path, app, elapsed_s):
-    """Make sidecar and entry believe that time has passed."""
+    """Shift the clocks of sidecar and entry as if time had passed."""
     for system in (app.keeper.tickets, app.keeper.tombstones):
         system.clock._started_s -= elapsed_s
     heard = path.entry_app._sidecars._last_stamps
@@ -498,14 +517,14 @@
         heard[endpoint_id] = attrs.evolve(row, heard_s=row.heard_s - elapsed_s)
 
 
-class TestHangUp:
-    async def test_ends_unstreamed_work(self):
+class TestDisconnect:
+    async def test_cancels_an_unstreamed_request(self):
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=0)
             await path.sidecar(engine)
             entry = await path.entry()
             async with anyio.create_task_group() as group:
-                group.start_soon(lambda: ask(path, entry, body=chat(stream=False)))
+                group.start_soon(lambda: send_request(path, entry, body=chat(stream=False)))
                 await eventually(lambda: engine.runs)
                 group.cancel_scope.cancel()
 
@@ -513,7 +532,7 @@
 
 
 class TestRouteHint:
-    async def test_sent_back_leads_to_the_endpoint_that_answered(self):
+    async def test_hint_routes_to_the_named_endpoint(self):
         async with path_of() as path:
             engines = [ScriptedEngine() for _ in range(6)]
             for engine in engines:
@@ -522,6 +541,8 @@
 
             for i in range(6):
                 hint = ("beryl-route-hint", f"drafter-{i}")
-                await ask(path, entry, headers=[AUTH, hint], body=chat(prompt_cache_key="c"))
+                await send_request(
+                    path, entry, headers=[AUTH, hint], body=chat(prompt_cache_key="c")
+                )
 
         assert [len(engine.runs) for engine in engines] == [1] * 6
--- a/testing/test_hosts.py
+++ b/testing/test_hosts.py
@@ -10,7 +10,7 @@
 ROW = HostRow("host-a", "drafter-0", "drafter", "ahd-a", "gj-west", "127.0.0.1:1")
 
 
-def listed(count):
+def model_with_rows(count):
     model = HostListModel(kept_changes=4)
     for i in range(count):
         model.put(attrs.evolve(ROW, endpoint_id=f"drafter-{i}"), now_s=float(i))
@@ -18,8 +18,8 @@
 
 
 class TestHostListModel:
-    def test_reader_gets_only_what_changed(self):
-        model = listed(2)
+    def test_reader_gets_only_the_changes(self):
+        model = model_with_rows(2)
         model.remove("drafter-0", now_s=2.0)
 
         changes = model.changes(after=1, shown_s=9.0)
@@ -28,21 +28,21 @@
         assert (changes.gone, changes.full, changes.version) == (("drafter-0",), False, 3)
 
     def test_change_is_not_shown_before_the_lag_has_passed(self):
-        changes = listed(3).changes(after=0, shown_s=1.0)
+        changes = model_with_rows(3).changes(after=0, shown_s=1.0)
 
         assert [row.key for row in changes.rows] == ["drafter-0", "drafter-1"]
         assert changes.version == 2
 
     @pytest.mark.parametrize("after", [0, 99], ids=["far-behind", "ahead-of-a-new-list"])
     def test_reader_that_the_history_cannot_serve_gets_the_whole_list(self, after):
-        changes = listed(8).changes(after=after, shown_s=99.0)
+        changes = model_with_rows(8).changes(after=after, shown_s=99.0)
 
         assert changes.full
         assert len(changes.rows) == 8
 
 
 class TestHttpHostList:
-    def test_reads_over_http_what_was_put(self):
+    def test_reads_rows_over_http_and_reports_an_outage(self):
         async def run():
             standin = HostListStandIn()
             async with anyio.create_task_group() as group, client_pool() as pool:
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -28,12 +28,12 @@
 from ports import free_ports
 
 ROW = HostRow("host-a", "drafter-0", "drafter", "ahd-a", "gj-west", "127.0.0.1:1")
-START_S = 30.0
-STOP_S = 30.0
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 
 
 def short_lived_view():
-    """Return settings by which a stopping sidecar does not keep answers for long."""
+    """Return settings under which a stopping sidecar keeps answers for one second only."""
     view = demo_view()
     services = {
         name: attrs.evolve(service, resume_s=1.0) for name, service in view.services.items()
@@ -42,7 +42,7 @@
 
 
 def start(program, *arguments):
-    """Start one of our console programs; whoever starts it ends it by its id."""
+    """Start one of the console programs; the caller must terminate the process."""
     path = pathlib.Path(sys.executable).parent / program
     source = pathlib.Path(beryljunction.__file__).parents[1]
     environment = {**os.environ, "PYTHONPATH": str(source)}
@@ -58,15 +58,15 @@
         return response.read()
 
 
-def until_ready(address, process):
-    deadline_s = time.monotonic() + START_S
+def wait_until_ready(address, process):
+    deadline_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline_s and process.poll() is None:
         with contextlib.suppress(OSError):
             fetch(address, "/readyz")
             return
         time.sleep(0.05)
     process.kill()
-    _, stderr = process.communicate(timeout=STOP_S)
+    _, stderr = process.communicate(timeout=STOP_TIMEOUT_S)
     raise AssertionError(
         f"{address}: expected a ready process, got exit code {process.returncode} and:\n"
         f"{stderr.decode()[-2000:]}"
@@ -74,7 +74,7 @@
 
 
 class Processes:
-    """Two entries, an endpoint of each service and the stand-ins, each a process of its own."""
+    """Two entries, one endpoint per service and the stand-ins, each in a separate process."""
 
     def __init__(self, directory):
         plan = FleetPlan(entries=2, endpoints=1)
@@ -100,7 +100,7 @@
             process.terminate()
         for process in self.running.values():
             try:
-                process.communicate(timeout=STOP_S)
+                process.communicate(timeout=STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.communicate()
@@ -112,7 +112,7 @@
     fleet = Processes(tmp_path_factory.mktemp("fleet"))
     try:
         for name, address in fleet.operators.items():
-            until_ready(address, fleet.running[name])
+            wait_until_ready(address, fleet.running[name])
         yield fleet
     finally:
         fleet.end()
@@ -120,7 +120,7 @@
 
 class TestProcesses:
     @pytest.mark.parametrize("number", [0, 1], ids=["first-entry", "second-entry"])
-    def test_streamed_answer_comes_whole_through_each_entry(self, processes, number):
+    def test_streamed_answer_is_complete_through_each_entry(self, processes, number):
         body = {"model": "drafter", "messages": [], "max_tokens": 5, "stream": True}
 
         data = fetch(processes.entries[number], "/v1/chat/completions", json.dumps(body).encode())
@@ -156,7 +156,7 @@
         assert {"entry-0", "host-ledger-0"} <= {node["host"] for node in nodes}
         assert {node["hosts_version"] for node in nodes} == {5}
 
-    def test_timeline_shows_one_request_over_the_processes_in_order(self, processes, capsys):
+    def test_timeline_orders_the_events_of_one_request_across_processes(self, processes, capsys):
         body = json.dumps({"model": "drafter", "messages": [], "max_tokens": 2}).encode()
         fetch(processes.entries[0], "/v1/chat/completions", body)
         timeline(hosts=processes.hosts, json=True)
@@ -189,11 +189,11 @@
 
 
 class TestStop:
-    def test_sigterm_lets_an_answer_in_flight_end(self, processes):
-        """An operator stops an entry while it relays an answer.
+    def test_sigterm_completes_an_answer_in_flight(self, processes):
+        """An entry that gets SIGTERM while it relays an answer must not cut the answer off.
 
-        The signal comes after the first frame. The entry relays the answer to its last frame and
-        only then exits, with code 0; a second signal must not hurry it.
+        The signal comes after the first frame. The entry relays the remaining frames and then exits
+        with code 0; a second signal must not shorten this.
         """
         body = {"model": "drafter", "messages": [], "max_tokens": 40, "stream": True}
         request = urllib.request.Request(
@@ -209,17 +209,17 @@
             data = first + response.read()
 
         assert data.count(b"data: ") == 41
-        assert entry.wait(STOP_S) == 0
+        assert entry.wait(STOP_TIMEOUT_S) == 0
 
 
 class TestBadSettings:
     @pytest.mark.parametrize("program", ["beryl-entry", "beryl-sidecar"])
-    def test_end_the_start_with_code_2_and_a_line_for_each_problem(self, tmp_path, program):
+    def test_exit_with_code_2_and_a_line_for_each_problem(self, tmp_path, program):
         path = tmp_path / "bad.toml"
         path.write_text('colour = "red"\n[process]\nhost = 3\n')
 
         process = start(program, str(path))
-        _, stderr = process.communicate(timeout=START_S)
+        _, stderr = process.communicate(timeout=START_TIMEOUT_S)
 
         assert process.returncode == 2
         assert b"colour" in stderr
@@ -242,11 +242,11 @@
 
 
 class TestHostView:
-    def test_full_list_without_rows_takes_no_endpoint_away(self):
-        """The list service restarts and has lost its rows.
+    def test_empty_full_list_removes_no_endpoint(self):
+        """A list service that lost its rows in a restart must not remove every endpoint.
 
-        Its full list of none would remove every endpoint, and all callers would be refused though
-        every endpoint works. The view keeps what it had until rows are listed again.
+        If its empty full list were applied, all callers would be refused although every endpoint
+        works. The view keeps its rows until rows are listed again.
         """
         view = HostView()
         view.apply(HostChanges(5, (ROW,)))
@@ -265,7 +265,7 @@
 
 
 class TestHostFollower:
-    def test_outage_keeps_the_last_view_and_is_noted_once(self):
+    def test_outage_keeps_the_last_view_and_is_logged_once(self):
         async def run():
             outage = PlatformUnavailableError("down")
             hosts = ScriptedHosts(HostChanges(4, (ROW,)), outage, outage)
@@ -302,7 +302,7 @@
         assert leaving is EndpointState.LEAVING
         assert role.endpoints.get("drafter-0").state is EndpointState.LIVE
 
-    def test_list_does_not_name_the_sidecar_incarnation_that_tickets_are_bound_to(self):
+    def test_list_does_not_overwrite_the_incarnation_reported_by_the_sidecar(self):
         role = self.entry()
         role.take_hosts([attrs.evolve(ROW, incarnation="platform-7")])
         role.endpoints.get("drafter-0").incarnation = "sidecar-1"
@@ -320,7 +320,7 @@
         tools = RoleTools(None, pool, pool, lambda: 0, lambda name, version: None)
         return SidecarRole(file, FleetView(), tools)
 
-    def test_leaves_for_as_long_as_the_list_says_so(self):
+    def test_drains_while_the_list_marks_it_as_leaving(self):
         role = self.sidecar()
 
         role.take_hosts([attrs.evolve(ROW, incarnation="platform-7", state="leaving")])
@@ -338,7 +338,7 @@
 
         assert role.sidecar.admission.leaving
 
-    def test_row_of_the_host_before_says_nothing_of_this_one(self):
+    def test_row_of_the_previous_host_is_ignored(self):
         role = self.sidecar()
 
         role.take_hosts([attrs.evolve(ROW, host="host-before", state="leaving")])
--- a/testing/test_node_orders.py
+++ b/testing/test_node_orders.py
@@ -8,11 +8,11 @@
 from beryljunction.settings.publishing import InForce
 from beryljunction.standins import ModelLogClient
 
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
-class TestWiredOrders:
-    def test_a_published_version_reaches_engines_and_plain_services_are_left_alone(self):
+class TestModelOrders:
+    def test_published_model_version_reaches_engines_but_not_plain_services(self):
         async def run():
             async with anyio.create_task_group() as group:
                 fleet = LocalFleet(group, demo_view())
@@ -24,11 +24,11 @@
                 session = OperatorSession(ModelLogClient(fleet.log, time.monotonic), "asha")
                 await session.look()
                 answer = await session.publish((Edit("service.drafter.model_version", "v2"),))
-                with anyio.fail_after(LIMIT_S):
+                with anyio.fail_after(TIMEOUT_S):
                     while {e.orders.models.get("drafter") for e in engines} != {"v2"}:
                         await anyio.sleep(0.05)
                 sidecar = fleet.endpoints["drafter-0"].node
-                with anyio.fail_after(LIMIT_S):
+                with anyio.fail_after(TIMEOUT_S):
                     while sidecar.role.sidecar.admission.paused:
                         await anyio.sleep(0.05)
                 await fleet.close()
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -8,7 +8,7 @@
 
 
 class TestDemo:
-    def test_every_answer_is_whole_and_runs_once(self):
+    def test_every_answer_is_complete_and_runs_once(self):
         result = anyio.run(run_demo)
 
         assert result.answers_whole + result.refusals == result.answers_total
@@ -28,7 +28,7 @@
             ),
         ],
     )
-    def test_is_refused_with_a_typed_body(self, key, body, status, code):
+    def test_is_refused_with_an_error_code(self, key, body, status, code):
         async def ask():
             async with anyio.create_task_group() as group, client_pool() as pool:
                 entry = await LocalFleet(group, demo_view()).add_entry()
--- a/testing/test_sockets.py
+++ b/testing/test_sockets.py
@@ -1,4 +1,4 @@
-"""Failures of whole processes, started from our console programs and ended by their ids."""
+"""Crashes and stops of entry and sidecar processes, started from the console programs."""
 
 import contextlib
 import os
@@ -43,7 +43,7 @@
 
 @contextlib.asynccontextmanager
 async def program(name, file, directory):
-    """Run one of our console programs until the block ends; it is killed by its id if need be."""
+    """Run a console program for the duration of the block; kill it if it is still running."""
     path = directory / f"{file.process.host}.toml"
     path.write_text(tomli_w.dumps(_converter.unstructure(file)))
     binary = pathlib.Path(sys.executable).parent / name
@@ -52,14 +52,14 @@
         [str(binary), str(path)], env={**os.environ, "PYTHONPATH": source}, stdout=None, stderr=None
     ) as process:
         try:
-            await listening(file.process.listen)
+            await wait_until_listening(file.process.listen)
             yield process
         finally:
             if process.returncode is None:
                 process.kill()
 
 
-async def listening(address):
+async def wait_until_listening(address):
     host, _, port = address.rpartition(":")
     while True:
         with contextlib.suppress(OSError):
@@ -70,7 +70,7 @@
 
 @contextlib.asynccontextmanager
 async def sidecar_program(path, engine_address, directory, service="drafter"):
-    """Start a sidecar as a process and make it known to the entries in this process."""
+    """Run a sidecar as a process and add it to the endpoint table of in-process entries."""
     with contextlib.ExitStack() as held:
         listen = f"127.0.0.1:{next(free_ports(held))}"
         process = attrs.evolve(PROCESS, host=f"{service}-0", listen=listen)
@@ -82,7 +82,7 @@
 
 @contextlib.asynccontextmanager
 async def entry_program(path, directory):
-    """Start an entry as a process; it learns of the path's sidecars by a host list."""
+    """Run an entry as a process; it finds the path's sidecars through a host list."""
     hosts = HostListStandIn()
     for row in path.endpoints:
         hosts.put(HostRow("h", row.endpoint_id, row.service, "ahd-a", "gj-west", row.address))
@@ -94,8 +94,8 @@
             yield f"http://{listen}", running
 
 
-async def whole_once(path, entry):
-    """Wait until the entry knows its endpoints: ask until an answer is whole."""
+async def wait_until_answered(path, entry):
+    """Wait until the entry knows its endpoints: repeat a request until it succeeds."""
     while True:
         answer = await path.pool.request("POST", entry + CHAT, headers=[AUTH], content=chat())
         if answer.status == 200:
@@ -104,15 +104,15 @@
 
 
 class TestKilledSidecar:
-    async def test_stream_ends_in_an_error_that_says_it_ran(self, tmp_path):
-        # kill -9 of the sidecar in mid-answer. The entry's connection breaks and no new one is
-        # taken; what the caller has is not the whole answer, so it must end in an error.
+    async def test_open_stream_ends_with_an_error_marked_as_run(self, tmp_path):
+        # The sidecar is killed (SIGKILL) in mid-answer: the entry's connection breaks and new ones
+        # are not accepted. The caller's partial answer must end with an error.
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=3)
-            back = await path.serve(engine)
+            engine_address = await path.serve(engine)
             entry = await path.entry()
             async with (
-                sidecar_program(path, back, tmp_path) as sidecar,
+                sidecar_program(path, engine_address, tmp_path) as sidecar,
                 path.pool.stream("POST", entry + CHAT, headers=[AUTH], content=chat()) as answer,
             ):
                 body = b""
@@ -125,10 +125,10 @@
         assert b'"ran": "yes"' in body
         assert b"[DONE]" not in body
 
-    async def test_note_that_may_not_be_repeated_is_unknown_and_stays_single(self, tmp_path):
+    async def test_non_repeatable_request_is_unknown_and_not_repeated(self, tmp_path):
         async with path_of() as path:
             engines = [ScriptedEngine(hold_at=0), ScriptedEngine()]
-            back = await path.serve(engines[0])
+            engine_address = await path.serve(engines[0])
             entry = await path.entry()
             answers = []
 
@@ -137,7 +137,7 @@
                 answers.append(await path.pool.request("POST", url, headers=[AUTH], content=b"{}"))
 
             async with (
-                sidecar_program(path, back, tmp_path, "ledger") as sidecar,
+                sidecar_program(path, engine_address, tmp_path, "ledger") as sidecar,
                 anyio.create_task_group() as group,
             ):
                 group.start_soon(note)
@@ -152,16 +152,16 @@
 
 
 class TestStoppedEntry:
-    async def test_fifty_open_streams_end_whole(self, tmp_path):
-        # SIGTERM, and another, to an entry with 50 streams open: every caller reads its whole
-        # answer on the connection that it has, and the process ends by itself, without an error. On
-        # a busy machine they take longer to open than the other tests' silence, and the engine that
-        # is held meanwhile would rightly be given up.
+    async def test_fifty_open_streams_are_completed(self, tmp_path):
+        # An entry with 50 open streams gets SIGTERM twice: every caller must read its complete
+        # answer on its existing connection, and the process must exit with code 0. The silence
+        # limits are raised because on a busy machine opening 50 streams takes longer than the usual
+        # limit of these tests, and the held engine would rightly be treated as failed.
         async with path_of(view_with(silence_s=30.0, engine_silence_s=30.0)) as path:
             engine = ScriptedEngine()
             await path.sidecar(engine)
             async with entry_program(path, tmp_path) as (entry, process):
-                await whole_once(path, entry)
+                await wait_until_answered(path, entry)
                 engine.hold_at = 2
                 answers = []
 
@@ -192,7 +192,7 @@
             await path.sidecar(engine)
             other = await path.entry()
             async with entry_program(path, tmp_path) as (entry, process):
-                await whole_once(path, entry)
+                await wait_until_answered(path, entry)
                 engine.hold_at = 2
                 seen = b""
                 with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError):
