--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -82,7 +82,7 @@
         return await self._run_attempts(pending, TicketAttempts(candidates, ticket))
 
     async def fetch(self, candidates: list[Endpoint], account: str) -> str | None:
-        """Return a ticket from the first candidate that answers; None if none does."""
+        """Return a ticket for later use, or None; its sidecar has just answered, so it is alive."""
         for endpoint in candidates[:_MAX_CANDIDATES]:
             ticket = await self._sidecars.ticket(endpoint, account)
             if ticket is not None:
