--- a/src/beryljunction/servers/__init__.py
+++ b/src/beryljunction/servers/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP servers (uvicorn) and client pools (httpcore) as all processes use them."""
+"""HTTP servers (uvicorn) and client connection pools (httpcore) shared by all processes."""
 
 from beryljunction.servers.asgi import (
     Asgi,
--- a/src/beryljunction/servers/asgi.py
+++ b/src/beryljunction/servers/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI types, and what applications do with a request and its answer."""
+"""ASGI types and helpers for requests and responses."""
 
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 async def read_body(receive: Receive, limit_bytes: int, limit_s: float = 60.0) -> bytes | None:
-    """Read a request's body; None when it is too long or too slow, or the caller hung up."""
+    """Return a request's body; None when it is too long, too slow, or the client disconnected."""
     with anyio.move_on_after(limit_s):
         message = await receive()
         body = bytes(message.get("body", b""))
@@ -35,7 +35,7 @@
 
 
 async def wait_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
-    """Cancel a scope when the other side hangs up."""
+    """Cancel a scope when the client disconnects."""
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
@@ -48,7 +48,7 @@
     headers: list[tuple[bytes, bytes]] | None = None,
     content_type: bytes = b"application/json",
 ) -> None:
-    """Send a whole response."""
+    """Send a complete response."""
     head = [(b"content-type", content_type), (b"content-length", b"%d" % len(body))]
     start = {"type": "http.response.start", "status": status, "headers": head + (headers or [])}
     await send(start)
--- a/src/beryljunction/servers/listeners.py
+++ b/src/beryljunction/servers/listeners.py
@@ -17,20 +17,21 @@
 
 __all__ = ["Server", "bind"]
 
-# A server that closes idle connections before its clients do would cut a request that is already
-# on its way: the caller would get "unknown" for nothing. So servers keep them for longer than the
-# 30 s of a client pool (``pools.py``).
+# Longer than the 30 s of a client pool (``pools.py``). A server that closes idle connections
+# before its clients do could drop a request in transit, and the caller would get "unknown"
+# needlessly.
 _SERVER_KEEPALIVE_S = 75
-# A reader whose host died takes no byte and closes nothing. Its run would count as read, and be
-# held up by it, until TCP gives up after a quarter of an hour. Heartbeats see to it that there is
-# always a byte to take, so half a minute without one taken is a reader that is gone; it may resume.
-_UNTAKEN_MS = 30_000
-# Far above every limit that a settings tree would set; those are refused with a typed answer.
+# A reader whose host crashed acknowledges no data and doesn't close its connection. Its run would
+# count as being read, and would block on it, until TCP times out after 15 minutes. Heartbeats ensure
+# that there is always data in flight, so a reader that acknowledges nothing for 30 s is gone; it may
+# resume later.
+_TCP_USER_TIMEOUT_MS = 30_000
+# Far above any limit in the settings; requests over those limits get a typed error response.
 _MAX_HEAD_BYTES = 262_144
 
 
 def bind(address: str) -> socket.socket:
-    """Bind a listening socket to "ip:port"; port 0 takes a free one.
+    """Return a listening socket bound to "ip:port"; port 0 selects a free port.
 
     Raises:
         StartError: When the address can't be bound.
@@ -41,15 +42,15 @@
     except (OSError, ValueError) as error:
         raise StartError(f"{address}: expected a free ip:port, got {error}") from error
     if hasattr(socket, "TCP_USER_TIMEOUT"):
-        listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNTAKEN_MS)
+        listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS)
     return listener
 
 
-class _ExpectedEnds(logging.Filter):
-    """Keeps responses that are left unfinished on purpose out of the error log.
+class _IncompleteResponseFilter(logging.Filter):
+    """Drops log records about responses that are left incomplete on purpose.
 
-    A reader that was replaced by a new connection, and whatever a process still serves when it is
-    cancelled, end without a whole response. Logged as errors they would hide the real ones.
+    Responses end incomplete when a new connection replaces a reader, or when the process is
+    cancelled while serving. Logging these as errors would hide real errors.
     """
 
     def filter(self, record: logging.LogRecord) -> bool:
@@ -58,18 +59,18 @@
         return not is_replaced and not isinstance(error, asyncio.CancelledError)
 
 
-_EXPECTED_ENDS = _ExpectedEnds()
+_INCOMPLETE_RESPONSE_FILTER = _IncompleteResponseFilter()
 
 
-class _BoundedHeads(HttpToolsProtocol):
-    """Closes a connection whose request head does not end.
+class _LimitedHeaderProtocol(HttpToolsProtocol):
+    """Closes a connection whose request headers are too long.
 
-    The parser keeps what it was sent of a head, however long it gets. A caller that never ends its
-    headers would fill the entry's memory before any limit of the settings is looked at.
+    The parser buffers headers without a limit. A client that never ends its headers would exhaust
+    the entry's memory before any limit of the settings is checked.
     """
 
-    # The class above has as many fields as instances can have with a shared table of their names.
-    # Two more of the usual kind would give each connection a table of its own, 1.5 KB.
+    # The base class already has the maximum number of attributes for a key-sharing instance dict.
+    # Two more attributes in the dict would cost each connection a dict of its own, 1.5 KB.
     __slots__ = ("_head_bytes", "_is_in_head")
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
@@ -95,7 +96,7 @@
 
 
 class Server(uvicorn.Server):
-    """A uvicorn server that leaves signals to the process and waits for requests in flight."""
+    """A uvicorn server that installs no signal handlers and waits for requests in flight."""
 
     def __init__(
         self, app: Asgi, listener: socket.socket, tls: ssl.SSLContext | None = None
@@ -103,7 +104,7 @@
         config = uvicorn.Config(
             app,
             loop="asyncio",
-            http=_BoundedHeads,
+            http=_LimitedHeaderProtocol,
             ws="none",
             lifespan="off",
             log_config=None,
@@ -115,12 +116,12 @@
             proxy_headers=False,
         )
         super().__init__(config)
-        logging.getLogger("uvicorn.error").addFilter(_EXPECTED_ENDS)
+        logging.getLogger("uvicorn.error").addFilter(_INCOMPLETE_RESPONSE_FILTER)
         self.listener = listener
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals alone: several servers may share one process."""
+        """Install no signal handlers, because several servers may share one process."""
         yield
 
     @property
@@ -130,7 +131,7 @@
         return f"{host}:{port}"
 
     async def run_until_stopped(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until :meth:`stop`; requests in flight are then finished, however long they run."""
+        """Serve until :meth:`stop`, then finish the requests in flight, without a time limit."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.serve, [self.listener])
             while not self.started:
@@ -138,5 +139,5 @@
             task_status.started()
 
     def stop(self) -> None:
-        """Stop taking connections; serving ends when nothing is in flight."""
+        """Stop accepting connections; the server exits when no request is in flight."""
         self.should_exit = True
--- a/src/beryljunction/stores/__init__.py
+++ b/src/beryljunction/stores/__init__.py
@@ -1,4 +1,4 @@
-"""The platform as the fleet meets it: log, host list, weight store."""
+"""Clients of the platform services: log, host list, weight store."""
 
 from beryljunction.stores.hosts import HostChanges, HostList, HostRow, HttpHostList
 from beryljunction.stores.log import (
--- a/src/beryljunction/stores/hosts.py
+++ b/src/beryljunction/stores/hosts.py
@@ -1,7 +1,7 @@
-"""The platform's lagging list of live and leaving hosts, read as deltas.
+"""The platform's list of live and leaving hosts, which lags behind and is read as deltas.
 
-A full list of 1,050 rows is some 200 KB; read each second it alone would break the 4 KB/s that a
-node may spend on control. So a reader names the version that it has and gets only what changed.
+A full list of 1,050 rows is about 200 KB. Reading it every second would exceed the limit of 4 KB/s
+of control traffic per host, so a reader sends the version it has and gets only the changes.
 """
 
 import abc
@@ -15,17 +15,17 @@
 __all__ = ["HOSTS_PATH", "HostChanges", "HostList", "HostRow", "HttpHostList"]
 
 HOSTS_PATH = "/v1/hosts"
-_CONNECT_S = 2.0
+_CONNECT_TIMEOUT_S = 2.0
 _READ_MARGIN_S = 5.0
 
 
 @attrs.frozen
 class HostRow:
-    """One host as the platform lists it.
+    """One host in the platform's list.
 
     Attributes:
-        endpoint_id: Endpoint beside which the host's process stands; empty for an entry host.
-        address: IP address and port of the process for requests.
+        endpoint_id: Endpoint that the host's sidecar serves; empty for the host of an entry.
+        address: IP address and port where the process accepts requests.
         incarnation: Changes when the host is replaced, also under the same address.
         state: "live" or "leaving".
         operator_address: IP address and port of the process's operator listener.
@@ -43,19 +43,19 @@
 
     @property
     def key(self) -> str:
-        """What the row is replaced and removed by: the endpoint's name, or the host's."""
+        """Key for replacing and removing the row: the endpoint's id, or else the host's name."""
         return self.endpoint_id or self.host
 
 
 @attrs.frozen
 class HostChanges:
-    """What changed since the version that the reader had.
+    """Changes to the host list since a given version.
 
     Attributes:
-        version: Version that the reader has after these changes.
+        version: Version of the list after these changes.
         rows: Rows that are new or changed.
-        gone: Keys of rows that were taken off the list.
-        full: Whether ``rows`` is the whole list, so that everything else is gone.
+        gone: Keys of rows that were removed.
+        full: Whether ``rows`` is the complete list, so that any other row is removed.
     """
 
     version: int
@@ -65,28 +65,28 @@
 
 
 class HostList(abc.ABC):
-    """Reader of the platform's host list."""
+    """Interface for reading the platform's host list."""
 
     @abc.abstractmethod
     async def changes(self, after: int, wait_s: float) -> HostChanges:
-        """Return what changed after a version, waiting up to ``wait_s`` for a first change.
+        """Return the changes after a version, waiting up to ``wait_s`` for the first one.
 
         Raises:
-            PlatformUnavailableError: When the list did not answer.
+            PlatformUnavailableError: When the host list service does not respond.
         """
 
 
 class HttpHostList(HostList):
-    """The host list over HTTP with JSON."""
+    """Client of the host list service (JSON over HTTP)."""
 
     def __init__(self, pool: httpcore.AsyncConnectionPool, base_url: str) -> None:
         self._pool = pool
         self._url = base_url.rstrip("/") + HOSTS_PATH
 
     async def changes(self, after: int, wait_s: float) -> HostChanges:
-        """Ask for the changes after a version."""
+        """Return the changes after a version; see :meth:`HostList.changes`."""
         url = f"{self._url}?after={after}&wait_s={wait_s:g}"
-        timeout = {"connect": _CONNECT_S, "read": wait_s + _READ_MARGIN_S}
+        timeout = {"connect": _CONNECT_TIMEOUT_S, "read": wait_s + _READ_MARGIN_S}
         try:
             response = await self._pool.request("GET", url, extensions={"timeout": timeout})
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
--- a/src/beryljunction/stores/log.py
+++ b/src/beryljunction/stores/log.py
@@ -1,7 +1,8 @@
-"""The platform's append-only log: named streams of records with offsets that only grow.
+"""The platform's append-only log: named streams of records with increasing offsets.
 
-Outcomes are values. An append has three: the log took the record, it provably did not, or nobody
-knows, since the answer was lost. Who gets "unknown" looks the record up by its id.
+Outcomes are returned as values. An append has three: the log stored the record, it certainly did
+not, or the result is unknown because the response was lost. In the last case the writer looks the
+record up by its id.
 """
 
 import abc
@@ -24,8 +25,8 @@
     "ReadOutcome",
 ]
 
-_ANSWER_S = 2.0
-_CONNECT_S = 1.0
+_RESPONSE_TIMEOUT_S = 2.0
+_CONNECT_TIMEOUT_S = 1.0
 _RATE_LIMITED_STATUS = 429
 
 
@@ -34,8 +35,8 @@
     """One record of a stream.
 
     Attributes:
-        offset: Place in the stream; the first record has 1.
-        record_id: Id that the writer chose; the log does not check that it is unique.
+        offset: Position in the stream; the first record has 1.
+        record_id: Id set by the writer; the log does not check that it is unique.
         data: Any JSON value.
     """
 
@@ -46,14 +47,14 @@
 
 @attrs.frozen
 class Appended:
-    """The log holds the record."""
+    """The log has stored the record."""
 
     offset: int
 
 
 @attrs.frozen
 class AppendRefused:
-    """The log does not hold the record, and never will by this attempt."""
+    """The log has not stored the record, and this attempt can no longer store it."""
 
     reason: str
     retry_after_s: float
@@ -61,7 +62,7 @@
 
 @attrs.frozen
 class AppendUnknown:
-    """No answer came: the log may hold the record or not."""
+    """The response was lost: the log may or may not have stored the record."""
 
     reason: str
 
@@ -71,11 +72,11 @@
 
 @attrs.frozen
 class LogPage:
-    """Records of a stream in order.
+    """Consecutive records of a stream.
 
     Attributes:
-        first_offset: Oldest offset still kept; equal to ``next_offset`` when none is.
-        next_offset: Offset that the next append will get.
+        first_offset: Oldest retained offset; equal to ``next_offset`` when there is none.
+        next_offset: Offset of the next append.
     """
 
     records: tuple[LogRecord, ...]
@@ -84,7 +85,7 @@
 
     @property
     def read_to(self) -> int:
-        """Offset up to which a reader of this page has seen the stream."""
+        """Offset up to which the stream has been read with this page."""
         return self.records[-1].offset if self.records else self.next_offset - 1
 
     @property
@@ -95,7 +96,7 @@
 
 @attrs.frozen
 class ReadFailed:
-    """The log did not answer; a read has no effect, so it may be repeated."""
+    """The read failed; reads have no side effects, so it may be repeated."""
 
     reason: str
 
@@ -104,15 +105,15 @@
 
 
 class LogClient(abc.ABC):
-    """How the fleet meets the log."""
+    """Interface of a client of the log."""
 
     @abc.abstractmethod
     async def append(self, stream: str, record_id: str, data: Any) -> AppendOutcome:
         """Append a record.
 
         Args:
-            stream: Name of the stream; letters, digits, "-" and "_".
-            record_id: Unique id, by which a lost answer is looked up.
+            stream: Name of the stream; may contain letters, digits, "-" and "_".
+            record_id: Unique id, used to look the record up when the response was lost.
             data: Any JSON value.
         """
 
@@ -124,14 +125,14 @@
 
         Args:
             stream: Name of the stream.
-            after: Last offset already seen; 0 reads from the oldest record kept.
-            limit: Most records on the page.
-            wait_s: Longest wait for a record when there is none yet.
+            after: Last offset already read; 0 reads from the oldest retained record.
+            limit: Maximum number of records on the page.
+            wait_s: Longest time to wait for a record when there is none yet.
         """
 
 
 class HttpLogClient(LogClient):
-    """The log service over HTTP with JSON."""
+    """Client of the log service (JSON over HTTP)."""
 
     def __init__(self, base_url: str, pool: httpcore.AsyncConnectionPool) -> None:
         self._base_url = base_url.rstrip("/")
@@ -151,8 +152,8 @@
         try:
             return Appended(int(json.loads(response.content)["offset"]))
         except (ValueError, KeyError, TypeError):
-            # A proxy or a failing log may answer 5xx after the record went in, so no answer but
-            # the log's own "too many" proves that it did not.
+            # A proxy or a failing log may respond with 5xx after the record was stored. Only the
+            # log's own 429 proves that it was not stored.
             return AppendUnknown(f"the log answered {response.status}")
 
     async def read(
@@ -171,8 +172,12 @@
     async def _request(
         self, method: str, path: str, body: bytes, wait_s: float = 0.0
     ) -> httpcore.Response:
-        timeouts = {"connect": _CONNECT_S, "pool": _CONNECT_S, "write": _ANSWER_S}
-        timeouts["read"] = _ANSWER_S + wait_s
+        timeouts = {
+            "connect": _CONNECT_TIMEOUT_S,
+            "pool": _CONNECT_TIMEOUT_S,
+            "write": _RESPONSE_TIMEOUT_S,
+        }
+        timeouts["read"] = _RESPONSE_TIMEOUT_S + wait_s
         return await self._pool.request(
             method,
             self._base_url + path,
--- a/src/beryljunction/wire/__init__.py
+++ b/src/beryljunction/wire/__init__.py
@@ -1,8 +1,8 @@
-"""Messages between the fleet's own processes: JSON in headers and bodies over HTTP.
+"""Messages between processes of the fleet: JSON in HTTP headers and bodies.
 
-Every answer of a sidecar says in a header of its own what it is. Without it an entry would have to
-guess whether a 503 is the sidecar's refusal, which it may retry, or the endpoint's own answer,
-which belongs to the caller.
+Every sidecar response states its kind in the ``beryl-outcome`` header. Without the header an entry
+could not tell whether a 503 is the sidecar's refusal, which it may retry, or the endpoint's own
+response, which must be forwarded to the caller.
 """
 
 from beryljunction.wire.codec import (
--- a/src/beryljunction/wire/codec.py
+++ b/src/beryljunction/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages as JSON, and errors as every caller gets them."""
+"""JSON encoding of messages, load rows and error bodies."""
 
 import json
 from typing import Any, TypeVar
@@ -20,7 +20,7 @@
 
 T = TypeVar("T")
 
-_CALLERS_FAULTS = frozenset(
+_CLIENT_ERROR_CODES = frozenset(
     (
         RefusalCode.BAD_REQUEST,
         RefusalCode.UNAUTHENTICATED,
@@ -35,13 +35,13 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return an attrs message as compact JSON; fields that hold their default are left out."""
+    """Return an attrs message as compact JSON; fields with default values are omitted."""
     plain = _converter.unstructure(message)
     return json.dumps(plain, separators=(",", ":")).encode()
 
 
 def decode(data: bytes, cls: type[T]) -> T:
-    """Return the message in JSON bytes.
+    """Return the message decoded from JSON bytes.
 
     Raises:
         ValueError: When the bytes are not JSON or do not fit the class.
@@ -53,18 +53,21 @@
 
 
 def refusal_body(refusal: Refusal, request_id: str) -> bytes:
-    """Return the JSON body of an error, the same between our processes and to callers.
+    """Return the JSON error body, which has one format for fleet processes and callers.
 
-    ``type`` and ``param`` are there for the usual chat clients, which expect them.
+    ``type`` and ``param`` are included because common chat API clients expect them.
     """
     fields = attrs.asdict(refusal, filter=lambda _, value: value is not None)
-    kind = "invalid_request_error" if refusal.code in _CALLERS_FAULTS else "server_error"
+    kind = "invalid_request_error" if refusal.code in _CLIENT_ERROR_CODES else "server_error"
     error = {**fields, "type": kind, "param": None, "request_id": request_id}
     return json.dumps({"error": error}).encode()
 
 
 def refusal_from_body(data: bytes) -> Refusal:
-    """Return the refusal in an error body; what can't be read proves nothing, so it is unknown."""
+    """Return the refusal in an error body.
+
+    A body that can't be decoded doesn't prove whether the request ran, so the result is unknown.
+    """
     try:
         fields = json.loads(data)["error"]
         return _converter.structure(fields, Refusal)
@@ -73,12 +76,12 @@
 
 
 def encode_rows(rows: list[LoadRow]) -> bytes:
-    """Return load rows as JSON arrays without names, which would be most of their bytes."""
+    """Return load rows as JSON arrays; field names would make up most of the bytes."""
     return json.dumps([attrs.astuple(row) for row in rows], separators=(",", ":")).encode()
 
 
 def decode_rows(data: bytes) -> list[LoadRow]:
-    """Return the load rows in JSON bytes.
+    """Return the load rows decoded from JSON bytes.
 
     Raises:
         ValueError: When the bytes are not JSON or do not fit.
--- a/src/beryljunction/wire/messages.py
+++ b/src/beryljunction/wire/messages.py
@@ -1,4 +1,4 @@
-"""What the fleet's processes tell each other."""
+"""Messages exchanged between processes of the fleet."""
 
 import enum
 
@@ -24,14 +24,14 @@
 
 
 class Outcome(enum.StrEnum):
-    """What the answer of a sidecar is.
+    """Kind of a sidecar's response.
 
     Attributes:
-        ANSWER: The endpoint's own answer, whole, with the endpoint's status.
-        STREAM: Numbered frames of the endpoint's answer.
-        REFUSAL: The sidecar's refusal or failure, a typed body.
-        PENDING: Nothing to read yet; the reader asks again by an attach.
-        DONE: A control message was carried out; the body is its result.
+        ANSWER: The endpoint's complete response, with the endpoint's status.
+        STREAM: Numbered frames of the endpoint's streamed response.
+        REFUSAL: A refusal or failure of the sidecar, with a typed error body.
+        PENDING: No data yet; the reader asks again with an :class:`Attach`.
+        DONE: A control message was processed; the body is its result.
     """
 
     ANSWER = "answer"
@@ -43,23 +43,23 @@
 
 @attrs.frozen
 class Envelope:
-    """What an entry tells a sidecar about a request besides its body.
+    """Metadata that an entry sends to a sidecar with a request's body.
 
     Attributes:
-        request_id: Unique for each request of a caller, the same for all its tries.
-        attempt: Number of the try; a tombstone stops one try, not those that follow.
-        chat_key: 64-bit hash of account and chat id; None for work without a chat.
-        chat_id: The engine's name of the chat; empty without a chat or when it is overlong.
-        wait_s: Longest wait for a start, relative, since clocks of hosts differ.
-        streamed: Whether the answer is a stream of server-sent events.
-        method: HTTP method at the endpoint.
-        path: Path and query at the endpoint.
-        headers: Caller's headers that the endpoint gets.
-        loads: Loads of the endpoints that refused this request just now.
+        request_id: Unique for each request of a caller, the same for all its attempts.
+        attempt: Number of the attempt; a tombstone blocks one attempt, not the later ones.
+        chat_key: 64-bit hash of account and chat id; None for a request without a chat.
+        chat_id: The engine's id of the chat; empty without a chat or when the id is too long.
+        wait_s: Longest time in the queue. It is relative because the clocks of hosts differ.
+        streamed: Whether the response is a stream of server-sent events.
+        method: HTTP method of the request to the endpoint.
+        path: Path and query of the request to the endpoint.
+        headers: Headers of the caller that are forwarded to the endpoint.
+        loads: Loads of the endpoints that have just refused this request.
         ticket: Ticket that the request runs under; None for idempotent requests.
-        heard: Stamp of this sidecar that the entry heard last before it sent the request.
-        heard_age_s: Seconds from then to the sending.
-        candidates: Stamps of the sidecars where a burned ticket may go on.
+        heard: Last stamp of this sidecar that the entry received before it sent the request.
+        heard_age_s: Seconds between receiving that stamp and sending the request.
+        candidates: Stamps of the sidecars that may take over from a burned ticket.
     """
 
     request_id: str
@@ -89,14 +89,16 @@
 
 @attrs.frozen
 class Attach:
-    """Takes up the answer of a run on a new connection.
+    """Resumes reading the response of a run on a new connection.
 
     Attributes:
-        heard: Stamp of this sidecar that the entry had heard when it sent the run; empty for none.
-        heard_age_s: Seconds from hearing it to sending the run.
-        after: Sequence of the last frame that was seen; 0 for none.
-        resume: Asked for by a caller with an event id, not by the entry that sent the run; it
-            proves nothing about a run that is on its way, so it leaves no tombstone.
+        heard: Last stamp of this sidecar that the entry had received when it sent the run; empty
+            for none.
+        heard_age_s: Seconds between receiving that stamp and sending the run.
+        after: Sequence number of the last frame received; 0 for none.
+        resume: Whether a caller asked with an event id, rather than the entry that sent the run.
+            Such a request proves nothing about a run that may still arrive, so it leaves no
+            tombstone.
     """
 
     request_id: str
@@ -110,7 +112,7 @@
 
 @attrs.frozen
 class Cancel:
-    """The caller hung up."""
+    """Cancels a request whose caller has disconnected."""
 
     request_id: str
     account: str
@@ -119,27 +121,27 @@
 
 @attrs.frozen
 class TicketWish:
-    """An account wants a ticket of the sidecar that is asked."""
+    """Asks a sidecar to issue a ticket for an account."""
 
     account: str
 
 
 @attrs.frozen
 class TicketGrant:
-    """A ticket, as its caller gets it."""
+    """A ticket in the form that the caller receives."""
 
     ticket: str
 
 
 @attrs.frozen
 class KeyWish:
-    """Claims an idempotency key; the answer is a :class:`TicketGrant` or a refusal.
+    """Claims an idempotency key; the response is a :class:`TicketGrant` or a refusal.
 
     Attributes:
-        shard: Number of the log stream that settles the key.
+        shard: Number of the log stream that decides who owns the key.
         key: Digest of account, service and key.
         body: Digest of the request.
-        ticket: Ticket that the key shall stand for if it is new.
+        ticket: Ticket that is assigned to the key if the key is new.
     """
 
     request_id: str
@@ -151,17 +153,17 @@
 
 @attrs.frozen
 class Drain:
-    """Take no new work, or take it again."""
+    """Tells a sidecar to stop accepting new requests, or to accept them again."""
 
     leaving: bool = True
 
 
 @attrs.frozen
 class SidecarStatus:
-    """What a sidecar says of itself.
+    """Status of a sidecar.
 
     Attributes:
-        kept: Runs that ended but are kept for a reader that comes back.
+        kept: Finished runs that are retained so that a reader can resume them.
     """
 
     endpoint_id: str
@@ -175,10 +177,10 @@
 
 @attrs.frozen
 class ChatMoved:
-    """What an entry tells a chat's home when a later candidate took the chat.
+    """Notifies a chat's home that another candidate has served the chat.
 
     Attributes:
-        tokens: Length of the prefix that the endpoint now holds.
+        tokens: Length of the prefix that the endpoint has in its cache now.
     """
 
     chat_key: int
@@ -188,21 +190,21 @@
 
 @attrs.frozen
 class PointerList:
-    """Chat pointers that a leaving sidecar hands over."""
+    """Chat pointers that a leaving sidecar transfers to another one."""
 
     rows: tuple[ChatMoved, ...]
 
 
 @attrs.frozen
 class PrefixOffer:
-    """A cached prefix that a leaving sidecar hands on.
+    """A cached prefix that a leaving sidecar offers to its successor.
 
     Attributes:
-        chat_id: The engine's name of the chat.
+        chat_id: The engine's id of the chat.
         sender_id: Endpoint that leaves.
-        idle_s: Time since the chat's last answer. A successor that leaves in its turn would take a
-            chat that nobody comes back to for a new one otherwise, and hand it on for ever.
-        description: What the engine there exported, for the engine that imports it.
+        idle_s: Time since the chat's last response. Without it, each successor that leaves later
+            would treat an abandoned chat as new and transfer it again, forever.
+        description: Export of the leaving engine, as input for the engine that imports it.
     """
 
     chat_key: int
@@ -214,6 +216,6 @@
 
 @attrs.frozen
 class PrefixTaken:
-    """Length of the prefix that the successor has now; 0 when it had no use for it."""
+    """Length of the prefix that the successor has now; 0 when it declined the prefix."""
 
     tokens: int
--- a/src/beryljunction/wire/paths.py
+++ b/src/beryljunction/wire/paths.py
@@ -1,4 +1,4 @@
-"""Paths and headers by which the fleet's processes talk to each other."""
+"""HTTP paths and headers used between processes of the fleet."""
 
 __all__ = [
     "ATTACH_PATH",
@@ -38,11 +38,11 @@
 DRAIN_PATH = "/beryl/v1/drain"
 PEERS_PATH = "/beryl/v1/peers"
 
-# All processes must agree on it. 64 streams of the log at five appends a second each stay within
-# what it takes, and each is read by the few sidecars that are or were its home.
+# All processes must use the same number. 64 log streams with five appends a second each stay within
+# the log's limits, and each stream is read only by the few sidecars that are or were its home.
 KEY_SHARDS = 64
 
 
 def claim_stream(shard: int) -> str:
-    """Return the name of the log stream that settles a shard's idempotency keys."""
+    """Return the name of the log stream that records claims of a shard's idempotency keys."""
     return f"keys-{shard}"
