--- a/src/beryljunction/__init__.py
+++ b/src/beryljunction/__init__.py
@@ -1,7 +1,7 @@
-"""beryljunction: a router fleet for very many returning chats.
+"""beryljunction: a fleet of HTTP routers for large numbers of recurring chats.
 
-Names are loaded when they are first asked for: a process that has to listen at once after its start
-can't wait for modules that it needs only later.
+Public names are imported on first use, because a process that must listen immediately after its
+start can't wait for modules that it needs only later.
 """
 
 import importlib
@@ -32,7 +32,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load a public name."""
+    """Import a public name on first use."""
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     subject = "outcomes" if name in _OUTCOMES else "errors"
--- a/src/beryljunction/connections.py
+++ b/src/beryljunction/connections.py
@@ -1,9 +1,9 @@
-"""Connections of httpcore whose reads set no timer where no timeout was asked for.
+"""httpcore connections whose reads set no timer unless a timeout is given.
 
-httpcore's own stream enters a timeout scope and an exception map around every read, also without
-a timeout. For an open stream that is a third of what a read costs beside the system call, and
-kilobytes that each waiting read holds. Our streams have their silence limits from one ticker
-(:mod:`beryljunction.watches`), so their reads go without. All else is left to httpcore.
+httpcore's own stream enters a timeout scope and an exception map for every read, even without a
+timeout. On an open stream this is a third of the cost of a read apart from the system call, and
+each pending read holds kilobytes for it. One ticker (:mod:`beryljunction.watches`) enforces the
+idle timeouts of our streams, so their reads don't need it. Everything else is left to httpcore.
 """
 
 import ssl
@@ -20,7 +20,7 @@
 
 
 class StreamBackend(httpcore.AsyncNetworkBackend):
-    """httpcore's backend for anyio, with streams that are cheap to wait on."""
+    """httpcore's anyio backend with streams whose pending reads are cheap."""
 
     def __init__(self) -> None:
         self._inner = httpcore.AnyIOBackend()
@@ -33,23 +33,23 @@
         local_address: str | None = None,
         socket_options: Iterable[Any] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Connect; see the base class."""
+        """Open a TCP connection; see the base class."""
         inner = await self._inner.connect_tcp(host, port, timeout, local_address, socket_options)
         return _Stream(inner)
 
 
 class _Stream(httpcore.AsyncNetworkStream):
-    """Reads from anyio's stream itself when there is no timeout.
+    """Reads directly from anyio's stream when there is no timeout.
 
-    The library has no public name for that stream. Its version is pinned, and with another one that
-    keeps it elsewhere the first connection of any test fails here.
+    httpcore has no public attribute for that stream. Its version is pinned; with a version that
+    stores the stream elsewhere, the first connection of any test fails here.
     """
 
     def __init__(self, inner: httpcore.AsyncNetworkStream) -> None:
         self._inner = inner
         source = getattr(inner, "_stream", None)
         if not isinstance(source, anyio.abc.ByteStream):
-            raise InvariantError(f"expected httpcore to keep a byte stream, got {source!r}")
+            raise InvariantError(f"expected httpcore to hold an anyio ByteStream, got {source!r}")
         self._source = source
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
--- a/src/beryljunction/errors.py
+++ b/src/beryljunction/errors.py
@@ -1,8 +1,8 @@
-"""The exception tree.
+"""The exception hierarchy.
 
-Outcomes of requests and decisions are values (see :mod:`beryljunction.outcomes`). Exceptions are
-for what ends a process or a command: settings that can't be used, a start that failed, an
-invariant that broke.
+Outcomes of requests and decisions are returned as values (see :mod:`beryljunction.outcomes`).
+Exceptions are for errors that end a process or a command: unusable settings, a failed start, a
+violated invariant.
 """
 
 __all__ = [
@@ -15,14 +15,14 @@
 
 
 class BerylError(Exception):
-    """Root of every exception that this project raises."""
+    """Base class of all exceptions that this project raises."""
 
 
 class SettingsError(BerylError):
-    """Settings were refused.
+    """Settings are invalid.
 
     Args:
-        problems: One line for each problem: path in the tree, what was expected, what was got.
+        problems: One line for each problem: path in the settings tree, expected and actual value.
     """
 
     def __init__(self, problems: list[str]) -> None:
@@ -31,12 +31,12 @@
 
 
 class StartError(BerylError):
-    """A process could not start: an address in use, an unreadable certificate."""
+    """A process can't start, for example because an address is in use."""
 
 
 class InvariantError(BerylError):
-    """A state that the design rules out was seen; the process must not go on."""
+    """The process is in a state that should be impossible, and must not continue."""
 
 
 class PlatformUnavailableError(BerylError):
-    """The platform's log, host list or store did not answer; whether it acted is unknown."""
+    """The platform's log, host list or store gave no usable response; it may have acted or not."""
--- a/src/beryljunction/listening.py
+++ b/src/beryljunction/listening.py
@@ -1,21 +1,21 @@
-"""Opens a listening socket, before anything else of a process is loaded where that is asked for."""
+"""Opens listening sockets, optionally before the rest of a process is imported."""
 
 import socket
 
 __all__ = ["CALLERS_VARIABLE", "listen_early", "open_listener"]
 
-# The deploy file hands the callers' address over here, since the modules that read the settings
-# file take longer to load than the socket does to open.
+# The deployment passes the address for callers in this variable, because importing the modules that
+# read the settings file takes longer than opening the socket.
 CALLERS_VARIABLE = "BERYL_CALLERS"
-# Connections that wait to be accepted; a burst of callers after a start is some hundreds.
+# Connections that wait to be accepted; a burst of callers after a start is a few hundred.
 _BACKLOG = 1_024
 
 
 def open_listener(address: tuple[str, int]) -> socket.socket:
-    """Return a socket on which connections queue until they are accepted.
+    """Return a listening socket; connections queue until they are accepted.
 
     Raises:
-        OSError: The address can't be had.
+        OSError: When the address can't be bound.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -29,13 +29,14 @@
 
 
 def listen_early(text: str) -> socket.socket | None:
-    """Return a socket on IP:PORT; None where that can't be, which the start proper then explains.
-
-    Load: all hosts lose power, and callers try again within a second. Harm: a caller that meets a
-    host whose process is still loading is refused, spends its one retry at a host in the same
-    state, and fails. Connections queue from 0.03 s after a start on, in place of 0.25 s (a share of
-    0.817 of a core), and are answered when the process is up. One day with such a loss, one run
-    each: 20 to 26 of 142 callers of the two seconds after it were answered in time.
+    """Return a socket listening on IP:PORT; None on failure, which the regular start reports.
+
+    After a power loss of all hosts, callers retry within a second. Their connections are refused
+    by a host whose process is still importing modules, and the one retry fails at another host in
+    the same state. With this socket, connections queue from 0.03 s after a start instead of 0.25 s
+    (at a share of 0.817 of a core), and are served when the process is up. In one simulated day
+    with such a loss, run once each way, 26 instead of 20 of the 142 callers of the following two
+    seconds were answered in time.
     """
     host, _, port = text.rpartition(":")
     if not (host and port.isdecimal()):
--- a/src/beryljunction/loads.py
+++ b/src/beryljunction/loads.py
@@ -1,4 +1,4 @@
-"""Load of an endpoint as processes tell each other of it."""
+"""Load reports of endpoints, as exchanged between processes."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class LoadRow:
-    """Load of one endpoint as its own sidecar reports it.
+    """Load of one endpoint, reported by its sidecar.
 
     Attributes:
-        incarnation: Changes whenever the sidecar starts anew.
-        sequence: Grows with each report of one incarnation; an older row never replaces a newer.
+        incarnation: Changes whenever the sidecar restarts.
+        sequence: Increases with each report of an incarnation; older rows never replace newer ones.
         work_tokens: Estimated tokens of the running requests.
-        speed_tokens_per_s: Tokens a second that one running request gets; 0 when not yet measured.
+        speed_tokens_per_s: Tokens per second for each running request; 0 when not yet measured.
     """
 
     endpoint_id: str
--- a/src/beryljunction/logs.py
+++ b/src/beryljunction/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, on standard error."""
+"""Logging of events to standard error, one line of key=value pairs each."""
 
 import datetime
 import json
@@ -13,22 +13,25 @@
 
 __all__ = ["EventLog", "configure_logs", "key_value_formatter", "key_value_text"]
 
-_SAFE = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:/+-")
+_UNQUOTED = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:/+-")
 _HASH_RANGE = 2**64
 
 
 def key_value_text(fields: dict[str, Any], *_: Any, **__: Any) -> str:
-    """Serialize, also for python-json-logger's hook; values with other characters become JSON."""
+    """Return fields as key=value text; values with special characters are written as JSON.
+
+    Extra arguments are ignored, so that python-json-logger can call it as a serializer.
+    """
     return " ".join(f"{key}={_value(value)}" for key, value in fields.items())
 
 
 def _value(value: Any) -> str:
     text = str(value)
-    return text if text and _SAFE.issuperset(text) else json.dumps(text)
+    return text if text and _UNQUOTED.issuperset(text) else json.dumps(text)
 
 
 class _Formatter(JsonFormatter):
-    """Times as ISO 8601 in UTC, so that lines of hosts in several zones sort."""
+    """Writes times as ISO 8601 in UTC, so that lines of hosts in several time zones sort."""
 
     def formatTime(self, record: logging.LogRecord, datefmt: Any = None) -> str:  # noqa: N802
         moment = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
@@ -49,24 +52,24 @@
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(key_value_formatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    # uvicorn tells at INFO what the time line's own events say better.
+    # uvicorn's INFO messages repeat what the timeline's events report in more detail.
     logging.getLogger("uvicorn.error").setLevel(logging.WARNING)
 
 
 class EventLog:
-    """Writes the events of a time line as log lines, the ordinary ones by sample.
+    """Writes the events of a timeline as log lines; ordinary events are sampled.
 
-    A request is sampled by its id, so all processes keep the lines of the same requests. Refusals,
-    failures and whatever else is notable are written always.
+    Requests are sampled by their id, so all processes log the same requests. Refusals, failures
+    and other notable events are always written.
     """
 
     def __init__(self, sample_ratio: float, logger: logging.Logger | None = None) -> None:
         self._logger = logger if logger is not None else logging.getLogger("beryljunction")
-        self._limit = int(sample_ratio * _HASH_RANGE)
+        self._hash_limit = int(sample_ratio * _HASH_RANGE)
 
     def __call__(self, event: Event) -> None:
-        """Write an event, or leave it out."""
-        if not self._keeps(event):
+        """Log an event unless sampling drops it."""
+        if not self._is_logged(event):
             return
         fields = {
             "hlc": f"{event.wall_ms}.{event.logical}",
@@ -79,7 +82,7 @@
             fields["detail"] = event.detail
         self._logger.info(event.kind, extra=fields)
 
-    def _keeps(self, event: Event) -> bool:
+    def _is_logged(self, event: Event) -> bool:
         if event.kind not in ORDINARY_KINDS or not event.request_id:
             return True
-        return xxhash.xxh3_64_intdigest(event.request_id.encode()) < self._limit
+        return xxhash.xxh3_64_intdigest(event.request_id.encode()) < self._hash_limit
--- a/src/beryljunction/metrics.py
+++ b/src/beryljunction/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of one process; each object has a registry of its own."""
+"""Prometheus metrics of one process; each :class:`Metrics` has its own registry."""
 
 import time
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 
 __all__ = ["MeteredApp", "Metrics"]
 
-# Bounds around the target of 0.32 s to the first token, which must be a bound itself.
+# The target of 0.32 s to the first token must itself be a bucket bound.
 _FIRST_BYTE_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.32, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 
 
 class Metrics:
-    """What a process counts.
+    """Metrics of a process.
 
-    Labels have few values each: kinds of events, codes of refusals, states. Client accounts and
-    chats are no labels, since at 350 accounts a scrape would grow with every service.
+    Each label has few values: event kinds, refusal codes, states. Client accounts and chats are
+    not used as labels, because with 350 accounts a scrape would grow with every service.
     """
 
     content_type = CONTENT_TYPE_LATEST
@@ -48,31 +48,31 @@
         self.watch("beryl_up_info", f"Constant 1; the process is a {role}.", lambda: 1.0)
 
     def watch(self, name: str, documentation: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read at each scrape."""
+        """Add a gauge whose value is read at each scrape."""
         Gauge(name, documentation, registry=self.registry).set_function(read)
 
     def count_event(self, event: Event) -> None:
-        """Count an event of the time line."""
+        """Count an event of the timeline."""
         self._events.labels(event.kind).inc()
         if event.kind == "refused":
             self._refusals.labels(event.detail).inc()
 
     def count_control(self, purpose: str, sent_bytes: int, received_bytes: int) -> None:
-        """Count the bytes of an exchange on control."""
+        """Count the bytes of an exchange of control traffic."""
         self._control.labels(purpose, "sent").inc(sent_bytes)
         self._control.labels(purpose, "received").inc(received_bytes)
 
     def observe_first_byte(self, elapsed_s: float) -> None:
-        """Count the time to the first byte of an answer."""
+        """Record the time to the first byte of a response."""
         self._first_byte.observe(elapsed_s)
 
     def render(self) -> bytes:
-        """Return the text that Prometheus scrapes."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class MeteredApp:
-    """Measures the time to the first byte of each answer around another application."""
+    """ASGI middleware that measures the time to the first byte of each response."""
 
     def __init__(self, app: Asgi, metrics: Metrics) -> None:
         self._app = app
--- a/src/beryljunction/operators.py
+++ b/src/beryljunction/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask any process of the fleet: paths, answers, and the key that they show."""
+"""Operator API of every process: paths, status and check of the operator key."""
 
 import hashlib
 import hmac
@@ -9,30 +9,30 @@
 
 STATUS_PATH = "/beryl/v1/status"
 EVENTS_PATH = "/beryl/v1/events"
-_BEARER = b"Bearer "
+_BEARER_PREFIX = b"Bearer "
 
 
 @attrs.frozen
 class NodeStatus:
-    """What a process says of itself to an operator.
+    """Status of a process, as reported to operators.
 
     Attributes:
-        settings_version: Version of the settings in force here.
-        settings_age_s: Age of the last confirmation that they are the newest; None where the
-            process does not keep it.
-        endpoints_age_s: Age of the last confirmation that the records of endpoints are complete;
-            None where the process does not keep it.
-        hosts_version: Version of the host list here.
-        not_ready: Why the process takes no work; empty when it does.
-        in_flight: Requests that are not over here.
-        running: Requests that run at the endpoint.
-        waiting: Requests that wait for the endpoint.
-        reads_from: Hosts that tell an entry what the store has told them; "store" where it reads
-            for itself.
+        settings_version: Version of the settings that the process uses.
+        settings_age_s: Time since the settings were last confirmed to be the newest; None if the
+            process doesn't track it.
+        endpoints_age_s: Time since the endpoint records were last confirmed to be complete; None
+            if the process doesn't track it.
+        hosts_version: Version of the host list that the process uses.
+        not_ready: Why the process accepts no requests; empty when it does.
+        in_flight: Requests that the process has not finished.
+        running: Requests running at the endpoint.
+        waiting: Requests queued for the endpoint.
+        reads_from: Hosts from which an entry gets store updates; "store" if it reads the store
+            itself.
         evacuated: Availability zones that get no new requests, with the time since this process
             learned of it, as in "north (12 s)".
         cold_endpoints: Endpoints that are, or may be, warming up.
-        orders: What the sidecar does about the models of its engine, and why.
+        orders: What the sidecar is doing about the models of its engine, and why.
     """
 
     role: str
@@ -57,13 +57,13 @@
 
 
 def shows_key(authorization: bytes, digests: tuple[str, ...]) -> bool:
-    """Return whether a header shows an operator's key.
+    """Return whether an authorization header contains a valid operator key.
 
     Args:
         authorization: Value of the request's authorization header.
-        digests: SHA-256 of each key that is taken.
+        digests: SHA-256 of each valid key.
     """
-    digest = hashlib.sha256(authorization.removeprefix(_BEARER)).hexdigest()
-    # All are compared, so that the time does not tell which one came near.
+    digest = hashlib.sha256(authorization.removeprefix(_BEARER_PREFIX)).hexdigest()
+    # All digests are compared, so that the response time doesn't reveal a partial match.
     matches = [hmac.compare_digest(digest, known) for known in digests]
-    return any(matches) and authorization.startswith(_BEARER)
+    return any(matches) and authorization.startswith(_BEARER_PREFIX)
--- a/src/beryljunction/outcomes.py
+++ b/src/beryljunction/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request, as values that travel between processes and to callers."""
+"""Outcomes of requests, as values that are sent between processes and to callers."""
 
 import enum
 
@@ -10,10 +10,10 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether a request ran, as far as the speaker can prove it.
+    """Whether a request ran, as far as the sender of the outcome can prove it.
 
-    ``NO`` is said only by a process that can prove it: an entry that sent no byte of the request,
-    or a sidecar that will refuse a late arrival of the same request.
+    ``NO`` is sent only by a process that can prove it: an entry that sent no byte of the request,
+    or a sidecar that will refuse the same request if it arrives late.
     """
 
     NO = "no"
@@ -22,7 +22,7 @@
 
 
 class RefusalCode(enum.StrEnum):
-    """Why a request was refused or failed; stable names that callers may match on."""
+    """Why a request was refused or failed; callers may rely on these names."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -49,19 +49,19 @@
 
 @attrs.frozen
 class Refusal:
-    """A typed "no": what happened, whether the request ran, and when to come back.
+    """A typed refusal or failure: the reason, whether the request ran, and when to retry.
 
     Attributes:
-        code: The stable reason.
-        message: What was expected, what was got and what to do, for a person.
+        code: Machine-readable reason.
+        message: Explanation for people: what was expected, the actual value and what to do.
         ran: Whether the request ran.
-        retry_after_s: Seconds after which a retry is worth making; None when it is not.
-        successor: Ticket under which the request may be tried next, when one was named.
-        pointer: Endpoint id where the chat's prefix lies, when the refuser knows it.
-        load: Load of the refuser, fresher than what its peers know; the entry takes it along to
-            the next candidate.
-        try_ran: Whether this very request ran, where that is surer than ``ran``, which speaks for
-            every request under the same key or ticket; None where the two are the same.
+        retry_after_s: Seconds to wait before a retry; None when a retry is pointless.
+        successor: Ticket for the next attempt, if one was issued.
+        pointer: Id of the endpoint that caches the chat's prefix, if known.
+        load: Load of the refusing endpoint, newer than what its peers know; the entry forwards it
+            to the next candidate.
+        try_ran: Whether this attempt ran, when that is more certain than ``ran``, which covers all
+            requests with the same key or ticket; None when the two are the same.
     """
 
     code: RefusalCode
--- a/src/beryljunction/servers/listeners.py
+++ b/src/beryljunction/servers/listeners.py
@@ -22,9 +22,9 @@
 # needlessly.
 _SERVER_KEEPALIVE_S = 75
 # A reader whose host crashed acknowledges no data and doesn't close its connection. Its run would
-# count as being read, and would block on it, until TCP times out after 15 minutes. Heartbeats ensure
-# that there is always data in flight, so a reader that acknowledges nothing for 30 s is gone; it may
-# resume later.
+# count as being read, and would block on it, until TCP times out after 15 minutes. Heartbeats
+# ensure that there is always data in flight, so a reader that acknowledges nothing for 30 s is
+# gone; it may resume later.
 _TCP_USER_TIMEOUT_MS = 30_000
 # Far above any limit in the settings; requests over those limits get a typed error response.
 _MAX_HEAD_BYTES = 262_144
--- a/src/beryljunction/servers/pools.py
+++ b/src/beryljunction/servers/pools.py
@@ -47,8 +47,6 @@
     plain = httpcore.URL(base_url).origin
     secure = httpcore.Origin(b"https", plain.host, plain.port)
     for connection in tuple(pool.connections):
-        is_same_origin = connection.can_handle_request(plain) or connection.can_handle_request(
-            secure
-        )
-        if is_same_origin and connection.is_idle():
+        is_match = connection.can_handle_request(plain) or connection.can_handle_request(secure)
+        if is_match and connection.is_idle():
             await connection.aclose()
--- a/src/beryljunction/stops.py
+++ b/src/beryljunction/stops.py
@@ -1,8 +1,8 @@
-"""Planned stops that cut nothing.
+"""Graceful shutdown that interrupts no request.
 
-A stop goes: not ready and no new work, then everything in flight ends, then what others can use is
-handed on, then the listeners close. The listeners stay open until then, because a run in flight
-may lose its reader's connection and have to be taken up on a new one.
+A process reports "not ready" and refuses new requests, waits for all requests in flight, transfers
+state that other processes can use, and then closes its listeners. The listeners stay open until
+then because the reader of a run in flight may lose its connection and resume on a new one.
 """
 
 import abc
@@ -14,35 +14,35 @@
 
 __all__ = ["SETTLE_S", "GracefulStop", "Stoppable"]
 
-# A balancer or entry that has not noticed yet would send its next request into a closed port, and
-# could not tell whether it arrived. Within this time each has been refused once ("not run") or has
-# seen the readiness probe fail; the brief allows a few seconds.
+# A load balancer or entry that has not noticed the stop would send its next request to a closed
+# port and could not tell whether it arrived. Within this time each has been refused once ("not
+# run") or has seen the readiness probe fail; the requirements allow a few seconds.
 SETTLE_S = 3.0
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 class Stoppable(abc.ABC):
-    """What a stop has to know of an entry or a sidecar."""
+    """Interface of an entry or a sidecar for a graceful stop."""
 
     @property
     @abc.abstractmethod
     def in_flight(self) -> int:
-        """Requests that a stop must not cut."""
+        """Number of requests that a stop must not interrupt."""
 
     @abc.abstractmethod
     def refuse_new(self) -> None:
-        """Refuse new work with a "not run" from now on; calling it again changes nothing."""
+        """Refuse new requests as "not run" from now on; further calls have no effect."""
 
     @abc.abstractmethod
     async def hand_over(self) -> None:
-        """Give to others what is of use to them; called once nothing is in flight."""
+        """Transfer state to other processes; called once no request is in flight."""
 
 
 class GracefulStop:
-    """The stop of one part and its servers: asked for any number of times, carried out once.
+    """Stops an entry or a sidecar and its servers once, however often it is requested.
 
-    There is no timeout: a run that takes an hour holds the stop up for an hour. A second signal
-    changes nothing, since the first has done all that may be done without cutting a request.
+    There is no timeout: a run that takes an hour delays the stop by an hour. A second signal has
+    no effect, since the first has done everything possible without interrupting a request.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
         self._requested = anyio.Event()
 
     def request(self) -> None:
-        """Begin the stop; at once no new work is taken."""
+        """Start the stop; new requests are refused immediately."""
         self._part.refuse_new()
         self._requested.set()
 
     async def run(self) -> None:
-        """Wait for a request to stop and carry it out."""
+        """Wait until a stop is requested, then perform it."""
         await self._requested.wait()
         await anyio.sleep(self._settle_s)
         while self._part.in_flight:
-            await anyio.sleep(_POLL_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
         await self._part.hand_over()
         for server in self._servers:
             server.stop()
--- a/src/beryljunction/streams.py
+++ b/src/beryljunction/streams.py
@@ -1,9 +1,9 @@
-"""Server-sent events with sequence numbers: whole answers, or an error in their place.
+"""Server-sent events with sequence numbers, which detect incomplete responses.
 
-A frame is one event with its blank line. The sidecar numbers the frames of an answer from 1 and
-puts the count into the last; the entry passes on frames in order and without gaps only. A stream
-is named by endpoint, incarnation of the sidecar and request, so that its reader finds it again
-from any entry and never takes up another incarnation's stream by mistake.
+A frame is one event with its blank line. The sidecar numbers the frames of a response from 1 and
+adds the count to the last; the entry forwards frames only in order and without gaps. A stream is
+identified by endpoint, incarnation of the sidecar and request, so that its reader can resume it
+through any entry and never resumes another incarnation's stream by mistake.
 """
 
 import attrs
@@ -25,18 +25,18 @@
 FRAME_END = b"\n\n"
 DONE = b"data: [DONE]"
 HEARTBEAT = b": heartbeat" + FRAME_END
-_ID = b"id: "
-_COUNT = b": count="
-_ERROR = b"event: error\ndata: "
+_ID_PREFIX = b"id: "
+_COUNT_PREFIX = b": count="
+_ERROR_PREFIX = b"event: error\ndata: "
 _CR = b"\r"
-# An endpoint that never ends its frame would fill the memory of the sidecar; the largest frames
-# seen are tool calls of some tens of kilobytes.
-_FRAME_BYTES = 1_048_576
+# An endpoint that never ends its frame would exhaust the sidecar's memory. The largest frames in
+# practice are tool calls of some tens of kilobytes.
+_MAX_FRAME_BYTES = 1_048_576
 
 
 @attrs.frozen
 class StreamName:
-    """Where one answer's frames are: the part of an event id before the sequence."""
+    """Identifies the stream of one response; the part of an event id before the sequence."""
 
     endpoint_id: str
     incarnation: str
@@ -46,28 +46,28 @@
         return f"{self.endpoint_id}.{self.incarnation}.{self.request_id}"
 
     def is_rest_of(self, asked: "StreamName | None") -> bool:
-        """Whether this stream is the one that a caller wants the rest of; None is any.
+        """Return whether a caller that resumes the given stream may read this one; None is any.
 
-        The sidecar may have started anew and run the same request again, from a message that came
-        late. Its frames have the same numbers and other words, and the caller would get the
-        beginning of one answer with the end of another.
+        The sidecar may have restarted and run the same request again because of a delayed message.
+        The new frames have the same numbers but different text, so the caller would get the
+        beginning of one response and the end of another.
         """
         return asked is None or self == asked
 
     @classmethod
     def parse(cls, text: str) -> "StreamName | None":
-        """Return the name, or None when the text is not one; endpoint ids may hold dots."""
+        """Return the parsed name, or None if the text is invalid; endpoint ids may contain dots."""
         parts = text.rsplit(".", 2)
         return cls(*parts) if len(parts) == 3 and all(parts) else None
 
 
 def error_event(body: bytes) -> bytes:
-    """Return the event that ends an answer which can't be completed."""
-    return _ERROR + body + FRAME_END
+    """Return the event that ends a response which can't be completed."""
+    return _ERROR_PREFIX + body + FRAME_END
 
 
 def event_position(event_id: str) -> tuple[StreamName, int] | None:
-    """Return the stream and sequence of an event id, or None when it is not one of ours."""
+    """Return the stream and sequence of an event id, or None if it has another format."""
     text, _, sequence = event_id.rpartition(".")
     name = StreamName.parse(text)
     if name is None or not (sequence.isascii() and sequence.isdigit()):
@@ -76,18 +76,18 @@
 
 
 class FrameCutter:
-    """Cuts a stream of bytes into whole frames; line ends become LF.
+    """Splits a stream of bytes into complete frames and converts line ends to LF.
 
     Args:
-        frame_bytes: Longest unfinished frame that is held.
+        frame_bytes: Maximum size of a buffered incomplete frame.
     """
 
-    def __init__(self, frame_bytes: int = _FRAME_BYTES) -> None:
+    def __init__(self, frame_bytes: int = _MAX_FRAME_BYTES) -> None:
         self._tail = b""
         self._frame_bytes = frame_bytes
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the frames that are whole now, each without its blank line."""
+        """Return the frames that are complete now, each without its blank line."""
         if self._tail:
             data = self._tail + data
         if _CR in data:
@@ -97,28 +97,28 @@
 
     @property
     def partial(self) -> bool:
-        """Whether bytes of an unfinished frame are held."""
+        """Whether bytes of an incomplete frame are buffered."""
         return bool(self._tail)
 
     @property
     def overlong(self) -> bool:
-        """Whether the unfinished frame is longer than any that is taken."""
+        """Whether the incomplete frame exceeds the maximum size."""
         return len(self._tail) > self._frame_bytes
 
 
 class FrameNumberer:
-    """Gives each frame of one answer its id and the last one the count."""
+    """Adds an id to each frame of one response and the frame count to the last."""
 
     def __init__(self, name: StreamName) -> None:
-        self._prefix = _ID + str(name).encode() + b"."
+        self._prefix = _ID_PREFIX + str(name).encode() + b"."
         self.sequence = 0
         self.done = False
 
     def number(self, frames: list[bytes]) -> list[bytes]:
-        """Return the frames as they go over the wire.
+        """Return the frames in the format that is sent.
 
-        Comments are left out: an engine's resume counts data events only, so a numbered comment
-        would make the engine skip a token. Whatever follows the last frame is left out too.
+        Comments are dropped: an engine counts only data events when it resumes, so a numbered
+        comment would make it skip a token. Anything after the last frame is dropped too.
         """
         numbered = []
         for frame in frames:
@@ -128,7 +128,7 @@
             if frame == DONE:
                 self.done = True
                 frame = b"%sdata: [DONE]" % self._id()
-                numbered.append(b"%s%d\n%s\n\n" % (_COUNT, self.sequence, frame))
+                numbered.append(b"%s%d\n%s\n\n" % (_COUNT_PREFIX, self.sequence, frame))
             else:
                 numbered.append(b"%s%s\n\n" % (self._id(), frame))
         return numbered
@@ -138,45 +138,45 @@
 
 
 class SequenceChecker:
-    """Passes on the frames of one answer in order, once each; stops at a gap.
+    """Forwards the frames of one response in order, once each, and stops at a gap.
 
-    Duplicated and late frames are dropped by their sequence. After a gap nothing is passed on:
-    the reader asks for the rest again, by :meth:`restart` and a new connection.
+    Duplicate and late frames are dropped by their sequence number. After a gap nothing is
+    forwarded until the reader calls :meth:`restart` and requests the rest on a new connection.
 
     Attributes:
-        last: Sequence of the newest frame that was passed on.
-        complete: Whether the last frame of the answer was passed on.
-        error: Body of the error that ended the answer, if one did.
+        last: Sequence number of the last frame that was forwarded.
+        complete: Whether the final frame of the response was forwarded.
+        error: Body of the error that ended the response, if any.
     """
 
     def __init__(self, name: StreamName, last: int = 0) -> None:
-        self._prefix = _ID + str(name).encode() + b"."
+        self._prefix = _ID_PREFIX + str(name).encode() + b"."
         self.last = last
         self.complete = False
         self.error: bytes | None = None
         self.gap = False
         self._cutter = FrameCutter()
-        self._expect()
+        self._update_next_id()
 
     def restart(self) -> None:
-        """Forget the rest of the connection that was given up."""
+        """Discard buffered data of a connection that was abandoned."""
         self.gap = False
         self._cutter = FrameCutter()
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes that the caller gets now."""
-        # Nearly every chunk is one whole frame, the one that was expected: pass it on as it is.
-        whole = data.startswith(self._next) and data.find(FRAME_END) == len(data) - 2
+        """Return the bytes to forward to the caller now."""
+        # Fast path: nearly every chunk is exactly the next frame, which is forwarded unchanged.
+        whole = data.startswith(self._next_id_line) and data.find(FRAME_END) == len(data) - 2
         if whole and not self._cutter.partial and not self.gap:
             self.last += 1
-            self._expect()
+            self._update_next_id()
             return data
         return b"".join(
             [frame + FRAME_END for frame in self._cutter.feed(data) if self._take(frame)]
         )
 
-    def _expect(self) -> None:
-        self._next = b"%s%d\n" % (self._prefix, self.last + 1)
+    def _update_next_id(self) -> None:
+        self._next_id_line = b"%s%d\n" % (self._prefix, self.last + 1)
 
     def _take(self, frame: bytes) -> bool:
         sequence, count = self._position(frame)
@@ -186,21 +186,21 @@
             self.gap = True
             return False
         self.last = sequence
-        self._expect()
+        self._update_next_id()
         self.complete = count == sequence
         return True
 
     def _position(self, frame: bytes) -> tuple[int | None, int | None]:
-        """Return sequence and, on the last frame, count; None for comments and errors."""
+        """Return the sequence and, for the final frame, the count; None for comments and errors."""
         count = None
         head, _, rest = frame.partition(b"\n")
-        if head.startswith(_COUNT):
-            count = _number(head[len(_COUNT) :])
+        if head.startswith(_COUNT_PREFIX):
+            count = _number(head[len(_COUNT_PREFIX) :])
             head = rest.partition(b"\n")[0]
         if head.startswith(self._prefix):
             return _number(head[len(self._prefix) :]), count
-        if frame.startswith(_ERROR):
-            self.error = frame.removeprefix(_ERROR)
+        if frame.startswith(_ERROR_PREFIX):
+            self.error = frame.removeprefix(_ERROR_PREFIX)
         return None, None
 
 
--- a/src/beryljunction/timeline.py
+++ b/src/beryljunction/timeline.py
@@ -1,4 +1,4 @@
-"""Events of one process in a bounded ring, ordered over processes by hybrid logical time."""
+"""Events of one process in ring buffers, ordered across processes by hybrid logical time."""
 
 import collections
 import time
@@ -9,21 +9,21 @@
 __all__ = ["HLC_HEADER", "ORDINARY_KINDS", "Event", "HybridClock", "Timeline", "merge_events"]
 
 HLC_HEADER = b"beryl-hlc"
-# What every request goes through when all is well. Everything else is notable: a kind that is
-# not known here must not be lost by sampling.
+# Kinds of events of every successful request. All other kinds are notable, so that a kind missing
+# here is never lost by sampling.
 ORDINARY_KINDS = frozenset(("arrived", "queued", "started", "ended", "answered"))
 _RING_EVENTS = 4096
-# A host whose clock is a year ahead would drag the time of every process that hears of it. Clocks
-# that are kept by NTP differ by far less, so a stamp beyond this is left out of account.
-_MAX_AHEAD_MS = 60_000
+# A host whose clock is a year ahead would advance the clock of every process that it contacts.
+# Clocks synchronized by NTP differ by far less, so a timestamp beyond this limit is ignored.
+_MAX_CLOCK_AHEAD_MS = 60_000
 
 
 @attrs.frozen(order=True)
 class Event:
-    """Something that happened in one process.
+    """An event in one process.
 
     Attributes:
-        wall_ms: Milliseconds since the epoch, never behind any event that was heard of.
+        wall_ms: Milliseconds since the epoch; never less than those of an event received before.
         logical: Orders events of the same millisecond.
     """
 
@@ -39,7 +39,7 @@
 class HybridClock:
     """Hybrid logical clock (Kulkarni et al., 2014): wall time that respects causality.
 
-    A wall clock alone would show an answer before its request when two hosts' clocks differ.
+    With wall time alone, a response could sort before its request when two hosts' clocks differ.
     """
 
     def __init__(self, wall_s: Callable[[], float] = time.time) -> None:
@@ -47,33 +47,33 @@
         self._last = (0, 0)
 
     def now(self) -> tuple[int, int]:
-        """Return the time of a new event."""
+        """Advance the clock and return the time of a new event."""
         wall_ms = int(self._wall_s() * 1000)
         last_ms, logical = self._last
         self._last = (wall_ms, 0) if wall_ms > last_ms else (last_ms, logical + 1)
         return self._last
 
     def heard(self, wall_ms: int, logical: int) -> None:
-        """Take in the time on a message from another process."""
-        if wall_ms <= int(self._wall_s() * 1000) + _MAX_AHEAD_MS:
+        """Advance the clock to the timestamp of a message from another process."""
+        if wall_ms <= int(self._wall_s() * 1000) + _MAX_CLOCK_AHEAD_MS:
             self._last = max(self._last, (wall_ms, logical))
 
     def stamp(self) -> bytes:
-        """Return the time as the value of the header on a message to another process."""
+        """Return the header value with the current time for a message to another process."""
         return b"%d.%d" % self.now()
 
     def heard_stamp(self, stamp: bytes | None) -> None:
-        """Take in a header's value; one that can't be read is left out of account."""
+        """Advance the clock to the timestamp in a header; invalid values are ignored."""
         wall, _, logical = (stamp or b"").partition(b".")
         if wall.isdigit() and logical.isdigit():
             self.heard(int(wall), int(logical))
 
 
 class Timeline:
-    """The bounded rings of one process's events.
+    """Ring buffers with the events of one process.
 
-    Ordinary and notable events have a ring each: at thousands of requests a second the ordinary
-    ones fill theirs within a minute, and the refusal that an operator looks for must outlive that.
+    Ordinary and notable events have separate buffers. At thousands of requests per second the
+    ordinary events fill theirs within a minute, and a refusal must remain visible for longer.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._listeners: list[Callable[[Event], None]] = []
 
     def listen(self, listener: Callable[[Event], None]) -> None:
-        """Have each further event passed on, as to a log or a metric."""
+        """Register a callback for all further events, for example a log or a metric."""
         self._listeners.append(listener)
 
     def add(self, kind: str, request_id: str = "", detail: str = "") -> None:
@@ -104,7 +104,7 @@
             listener(event)
 
     def events(self, request_id: str | None = None) -> list[Event]:
-        """Return the events still held, oldest first, of one request or of all."""
+        """Return the buffered events of one request or of all, oldest first."""
         return merge_events(
             [
                 event
@@ -115,5 +115,5 @@
 
 
 def merge_events(*rings: Iterable[Event]) -> list[Event]:
-    """Return the events of several processes as one time line, oldest first."""
+    """Return the events of several processes in one list, oldest first."""
     return sorted(event for ring in rings for event in ring)
--- a/src/beryljunction/tls.py
+++ b/src/beryljunction/tls.py
@@ -1,4 +1,4 @@
-"""TLS of one process: contexts by settings, certificates read again without a restart."""
+"""TLS contexts of one process; changed certificates are reloaded without a restart."""
 
 import pathlib
 import ssl
@@ -11,23 +11,23 @@
 
 __all__ = ["TlsContexts", "client_context"]
 
-_READ_AGAIN_S = 5.0
+_RELOAD_INTERVAL_S = 5.0
 
 
 class TlsContexts:
     """Contexts for the listeners and for calls to other processes of the fleet.
 
-    All are changed in place when the files change: connections that are open go on, new ones use
-    the new certificate. An authority that was taken out of its file stays trusted until a restart,
-    since the library can only add to the trusted ones.
+    All contexts are updated in place when the files change: open connections continue, and new
+    ones use the new certificate. An authority that was removed from its file stays trusted until
+    a restart, because the ssl module can only add trusted authorities.
 
     Args:
         settings: Paths of certificate, key and the authority that signs the fleet's certificates.
-        is_mutual: Whether the listener for requests takes only clients with a certificate of that
-            authority. An entry's callers have none, they show an API key.
+        is_mutual: Whether the listener for requests accepts only clients with a certificate of
+            that authority. An entry's callers have none; they authenticate with an API key.
 
     Attributes:
-        operator: For the operator listener, whose probes have no certificate.
+        operator: Context of the operator listener, whose probes have no certificate.
 
     Raises:
         StartError: When the files can't be used.
@@ -42,43 +42,43 @@
         self.client = client_context()
         if is_mutual:
             self.server.verify_mode = ssl.CERT_REQUIRED
-        self._marks = self._files_marks()
+        self._signatures = self._read_signatures()
         try:
             self._load()
         except OSError as error:
             raise StartError(f"process.tls: expected usable PEM files, got {error}") from error
 
     def read_again(self) -> str | None:
-        """Load the files if they have changed.
+        """Reload the files if they have changed.
 
         Returns:
-            None when they have not, otherwise the problem, empty when there was none.
+            None if they have not changed, an error message if loading failed, and "" on success.
         """
         try:
-            marks = self._files_marks()
-            if marks == self._marks:
+            signatures = self._read_signatures()
+            if signatures == self._signatures:
                 return None
             self._load()
         except (OSError, StartError) as error:
             return str(error)
-        self._marks = marks
+        self._signatures = signatures
         return ""
 
     async def follow(self, timeline: Timeline) -> None:
-        """Read the files again whenever they change, until cancelled."""
+        """Reload the files whenever they change, until cancelled."""
         last = None
         while True:
-            await anyio.sleep(_READ_AGAIN_S)
+            await anyio.sleep(_RELOAD_INTERVAL_S)
             problem = self.read_again()
             if problem is not None and problem != last:
                 timeline.add("tls_unreadable" if problem else "tls_renewed", detail=problem)
             last = problem
 
     def _load(self) -> None:
-        """Load into the live contexts what has been tried on a spare one.
+        """Load the files into a temporary context first, then into the live ones.
 
-        Files are replaced one after the other, so a new certificate may stand beside an old key for
-        a moment. Loaded into a live context that pair would end every handshake from then on.
+        Files are replaced one after the other, so for a moment a new certificate may be paired
+        with an old key. With that pair in a live context, every later handshake would fail.
         """
         self._load_into(client_context())
         self._load_into(self.server)
@@ -90,20 +90,20 @@
         if self._settings.authority_path is not None:
             context.load_verify_locations(self._settings.authority_path)
 
-    def _files_marks(self) -> list[tuple[int, int, int]]:
+    def _read_signatures(self) -> list[tuple[int, int, int]]:
         paths = (
             self._settings.certificate_path,
             self._settings.key_path,
             self._settings.authority_path,
         )
-        return [_mark(path) for path in paths if path is not None]
+        return [_file_signature(path) for path in paths if path is not None]
 
 
 def client_context(authority_path: str = "") -> ssl.SSLContext:
-    """Return a context that trusts whoever the fleet's authority has signed.
+    """Return a context that trusts any certificate signed by the fleet's authority.
 
-    Processes are addressed by IP numbers that pass from host to host, so a name in a certificate
-    would prove nothing. The authority signs only processes of the fleet, and that is what counts.
+    It doesn't check host names: processes are addressed by IP addresses that move between hosts, so
+    a name would prove nothing. The authority signs only certificates of the fleet's processes.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
@@ -112,7 +112,7 @@
     return context
 
 
-def _mark(path: str) -> tuple[int, int, int]:
+def _file_signature(path: str) -> tuple[int, int, int]:
     try:
         status = pathlib.Path(path).stat()
     except OSError as error:
--- a/src/beryljunction/watches.py
+++ b/src/beryljunction/watches.py
@@ -1,7 +1,7 @@
-"""Silence limits of many open streams, checked by one ticker.
+"""Idle timeouts of many open streams, checked by one periodic task.
 
-A timer for each read would be set and taken back for each frame, thousands of times a second. One
-ticker that looks at the time of the last byte costs the same whatever flows.
+A timer for each read would be set and cancelled for each frame, thousands of times per second. The
+cost of one task that compares the times of the last bytes doesn't depend on the traffic.
 """
 
 import contextlib
@@ -19,12 +19,12 @@
 
 @attrs.define(eq=False)
 class Watch:
-    """One connection that must not go silent.
+    """Idle timeout of one connection.
 
     Attributes:
-        heard_s: Monotonic time of the last byte.
-        paused: Set while this side itself reads nothing, as with a slow caller.
-        fired: Whether the connection was given up for its silence.
+        heard_s: Monotonic time of the last byte received.
+        paused: Set while this side doesn't read, for example because the caller is slow.
+        fired: Whether the timeout has expired and the connection was abandoned.
     """
 
     limit_s: float
@@ -34,11 +34,11 @@
     fired: bool = False
 
     def heard(self) -> None:
-        """Note that bytes came."""
+        """Record that bytes were received."""
         self.heard_s = time.monotonic()
 
     def check(self, now_s: float) -> None:
-        """Give the connection up if it has been silent for too long."""
+        """Cancel the scope if the connection has been idle for too long."""
         if self.paused:
             self.heard_s = now_s
         elif now_s - self.heard_s > self.limit_s:
@@ -47,17 +47,17 @@
 
 
 class WatchList:
-    """The open watches of one process."""
+    """All active idle timeouts of one process."""
 
     def __init__(self) -> None:
         self._open: set[Watch] = set()
 
     @contextlib.contextmanager
     def watch(self, limit_s: float) -> Iterator[Watch]:
-        """Run the block until it ends or is silent for longer than the limit.
+        """Run the block, and cancel it when no byte is received for longer than the limit.
 
         Raises:
-            httpcore.ReadTimeout: When it was silent for longer.
+            httpcore.ReadTimeout: When the block was cancelled.
         """
         watch = Watch(limit_s)
         self._open.add(watch)
@@ -70,12 +70,12 @@
             raise httpcore.ReadTimeout(f"expected a byte within {limit_s:g} s, got none")
 
     def tick(self, now_s: float) -> None:
-        """Check every open watch."""
+        """Check every active timeout."""
         for watch in tuple(self._open):
             watch.check(now_s)
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Check all timeouts periodically, until cancelled."""
         while True:
             await anyio.sleep(TICK_S)
             self.tick(time.monotonic())
