--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the suite pass over the tests in KNOWN-RED.txt, and over no others, and prints them."""
+"""Marks the tests listed in KNOWN-RED.txt, and no others, as expected failures; shared fixtures."""
 
 import json
 import pathlib
@@ -6,23 +6,23 @@
 import pytest
 
 _KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-_MOST = 3
+_MAX_ENTRIES = 3
 
 
 def _known_red():
-    """Return the reason of each listed test by its id."""
+    """Return the reasons of the listed tests by test id."""
     if not _KNOWN_RED.exists():
         return {}
     rows = [line.split(" | ") for line in _KNOWN_RED.read_text("utf-8").splitlines() if line]
-    if len(rows) > _MOST:
+    if len(rows) > _MAX_ENTRIES:
         raise pytest.UsageError(
-            f"{_KNOWN_RED.name}: expected at most {_MOST} lines, got {len(rows)}"
+            f"{_KNOWN_RED.name}: expected at most {_MAX_ENTRIES} lines, got {len(rows)}"
         )
     return {test: f"{reason} ({issue})" for test, reason, issue in rows}
 
 
 def pytest_collection_modifyitems(items):
-    """Run listed tests all the same; one that passes is reported, so that its line can go."""
+    """Mark listed tests as xfail; they still run, and a pass shows that a line can be removed."""
     reasons = _known_red()
     for item in items:
         if item.nodeid in reasons:
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def journal(tmp_path):
-    """Return a function that writes entries of a journal and returns its folder."""
+    """Return a function that writes journal entries and returns their directory."""
 
     def write(*entries):
         for number, values in enumerate(entries):
--- a/testing/ports.py
+++ b/testing/ports.py
@@ -6,12 +6,12 @@
 
 
 def free_ports(held):
-    """Yield ports of which each stays ours for as long as ``held`` (an ExitStack) is open.
+    """Yield ports that are each reserved until ``held`` (an ExitStack) is closed.
 
-    A port that was given back before its process binds it can be drawn again, by this test or by
-    another run beside it, and the second to bind it never gets ready. So a bound socket that does
-    not listen holds it: the kernel gives it to nobody else, yet a listener may bind it as well,
-    since both allow the reuse of the address.
+    A port that is released before its process binds it can be assigned again, in this test or in a
+    parallel run, and the second process to bind it never becomes ready. So each port is held by a
+    bound socket that doesn't listen: the kernel assigns the port to nobody else, but a listener
+    can still bind it, because both sockets set SO_REUSEADDR.
     """
     while True:
         holder = held.enter_context(socket.socket())
--- a/testing/test_connections.py
+++ b/testing/test_connections.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 async def connect():
-    """Connect to a listener that does with each connection what a test says."""
+    """Return a function that connects to a listener with the given connection handler."""
     async with anyio.create_task_group() as group:
 
         async def connect_to(serve) -> httpcore.AsyncNetworkStream:
@@ -41,27 +41,27 @@
 
 class TestStreamBackend:
     @pytest.mark.parametrize("timeout_s", [None, 5.0], ids=["no-timeout", "timeout"])
-    async def test_reads_what_was_sent_and_then_the_end(self, connect, timeout_s):
+    async def test_reads_the_data_and_then_eof(self, connect, timeout_s):
         stream = await connect(functools.partial(send_and_close, data=b"whole"))
 
         read = [await stream.read(100, timeout_s) for _ in range(2)]
 
         assert read == [b"whole", b""]
 
-    async def test_a_read_with_a_timeout_ends_by_it(self, connect):
+    async def test_read_with_a_timeout_times_out(self, connect):
         stream = await connect(stay_silent)
 
         with pytest.raises(httpcore.ReadTimeout):
             await stream.read(100, 0.01)
 
     @pytest.mark.parametrize("timeout_s", [None, 5.0], ids=["no-timeout", "timeout"])
-    async def test_a_read_of_a_closed_connection_is_httpcores_error(self, connect, timeout_s):
+    async def test_read_of_a_closed_connection_raises_httpcore_error(self, connect, timeout_s):
         stream = await connect(stay_silent)
         await stream.aclose()
 
         with pytest.raises(httpcore.ReadError):
             await stream.read(100, timeout_s)
 
-    async def test_a_refused_connection_is_httpcores_error(self):
+    async def test_refused_connection_raises_httpcore_error(self):
         with pytest.raises(httpcore.ConnectError):
             await StreamBackend().connect_tcp("127.0.0.1", 1)
--- a/testing/test_log.py
+++ b/testing/test_log.py
@@ -13,14 +13,14 @@
 
 
 class TestLogModel:
-    def test_offsets_grow_by_one_in_each_stream(self):
+    def test_offsets_increase_by_one_in_each_stream(self):
         log = LogModel()
 
         offsets = [log.append(stream, "id", {}, 0.0) for stream in ("a", "a", "b")]
 
         assert offsets == [Appended(1), Appended(2), Appended(1)]
 
-    def test_old_records_are_dropped_and_the_first_offset_says_so(self):
+    def test_old_records_are_dropped_and_first_offset_advances(self):
         log = LogModel(LogModelSettings(retention_s=10.0))
         log.append("a", "old", {}, 0.0)
         log.append("a", "new", {}, 8.0)
@@ -46,7 +46,7 @@
         ],
         ids=["after-effect", "before-effect"],
     )
-    def test_lost_answer_is_unknown_whatever_happened(self, settings, records):
+    def test_lost_response_is_unknown_whether_or_not_it_was_appended(self, settings, records):
         log = LogModel(settings)
 
         outcome = log.append("a", "id", {}, 0.0)
@@ -56,7 +56,7 @@
 
 
 class TestHttpLogClient:
-    def test_records_come_back_over_http_and_an_outage_is_a_value(self):
+    def test_reads_appended_records_and_returns_outages_as_values(self):
         async def run():
             stand_in = LogStandIn()
             server = Server(stand_in, bind("127.0.0.1:0"))
--- a/testing/test_logs.py
+++ b/testing/test_logs.py
@@ -14,7 +14,7 @@
     root.handlers, root.level = handlers, level
 
 
-def logged(caplog, sample_ratio, events):
+def logged_events(caplog, sample_ratio, events):
     caplog.set_level(logging.INFO)
     timeline = Timeline("host-a", "ahd-a")
     timeline.listen(EventLog(sample_ratio))
@@ -24,15 +24,15 @@
 
 
 class TestEventLog:
-    def test_sampling_keeps_each_refusal_and_failure(self, caplog):
+    def test_sampling_never_drops_refusals_and_failures(self, caplog):
         events = [("arrived", "r1"), ("refused", "r1"), ("try_refused", "r2"), ("broken", "r3")]
 
-        assert logged(caplog, 0.0, events) == events[1:]
+        assert logged_events(caplog, 0.0, events) == events[1:]
 
-    def test_sample_holds_all_lines_of_the_same_requests(self, caplog):
+    def test_sampling_keeps_all_events_of_a_sampled_request(self, caplog):
         events = [(kind, f"r{i}") for i in range(400) for kind in ("arrived", "ended")]
 
-        kept = logged(caplog, 0.25, events)
+        kept = logged_events(caplog, 0.25, events)
 
         arrived = [request_id for kind, request_id in kept if kind == "arrived"]
         assert arrived == [request_id for kind, request_id in kept if kind == "ended"]
--- a/testing/test_metrics.py
+++ b/testing/test_metrics.py
@@ -4,7 +4,7 @@
 from beryljunction.timeline import Timeline
 
 
-def value(metrics, name, **labels):
+def sample_value(metrics, name, **labels):
     return metrics.registry.get_sample_value(name, labels)
 
 
@@ -17,16 +17,22 @@
         for _ in range(2):
             timeline.add("refused", "r1", "overloaded")
 
-        assert value(metrics, "beryl_refusals_total", code="overloaded") == 2
-        assert value(metrics, "beryl_events_total", kind="refused") == 2
+        assert sample_value(metrics, "beryl_refusals_total", code="overloaded") == 2
+        assert sample_value(metrics, "beryl_events_total", kind="refused") == 2
 
     def test_processes_do_not_share_a_registry(self):
         first, second = Metrics("entry"), Metrics("entry")
 
         first.count_control("peers", 10, 20)
 
-        assert value(first, "beryl_control_bytes_total", purpose="peers", direction="sent") == 10
-        assert value(second, "beryl_control_bytes_total", purpose="peers", direction="sent") is None
+        assert (
+            sample_value(first, "beryl_control_bytes_total", purpose="peers", direction="sent")
+            == 10
+        )
+        assert (
+            sample_value(second, "beryl_control_bytes_total", purpose="peers", direction="sent")
+            is None
+        )
 
     def test_gauge_is_read_at_each_scrape(self):
         metrics = Metrics("sidecar")
@@ -39,17 +45,17 @@
 
 
 class TestMeteredApp:
-    def test_counts_the_first_byte_of_an_answer_once(self):
+    def test_observes_the_first_byte_of_a_response_once(self):
         async def app(scope, receive, send):
             await send({"type": "http.response.start"})
             for _ in range(3):
                 await send({"type": "http.response.body"})
 
-        async def swallow(message):
+        async def discard(message):
             return None
 
         metrics = Metrics("entry")
 
-        anyio.run(MeteredApp(app, metrics), {}, None, swallow)
+        anyio.run(MeteredApp(app, metrics), {}, None, discard)
 
-        assert value(metrics, "beryl_first_byte_seconds_count") == 1
+        assert sample_value(metrics, "beryl_first_byte_seconds_count") == 1
--- a/testing/test_ports.py
+++ b/testing/test_ports.py
@@ -9,17 +9,17 @@
 
 
 class TestFreePorts:
-    def test_give_each_port_once_though_nothing_listens_on_it_yet(self):
+    def test_yields_each_port_once_although_nothing_listens_yet(self):
         with contextlib.ExitStack() as held:
             ports = list(itertools.islice(free_ports(held), 300))
 
         assert len(set(ports)) == len(ports)
 
-    def test_let_a_listener_bind_a_port_that_nobody_else_gets(self):
+    def test_only_a_listener_can_bind_a_reserved_port(self):
         with contextlib.ExitStack() as held:
             port = next(free_ports(held))
-            with socket.socket() as stranger, pytest.raises(OSError, match="in use"):
-                stranger.bind(("127.0.0.1", port))
+            with socket.socket() as other, pytest.raises(OSError, match="in use"):
+                other.bind(("127.0.0.1", port))
 
             listener = bind(f"127.0.0.1:{port}")
 
--- a/testing/test_stops.py
+++ b/testing/test_stops.py
@@ -27,7 +27,7 @@
     return "asyncio"
 
 
-class FakePart(Stoppable):
+class FakeStoppable(Stoppable):
     def __init__(self):
         self.left = 1
         self.steps = []
@@ -44,8 +44,8 @@
 
 
 class TestGracefulStop:
-    async def test_waits_for_what_is_in_flight_then_hands_over_once(self):
-        part = FakePart()
+    async def test_waits_for_requests_in_flight_then_hands_over_once(self):
+        part = FakeStoppable()
         stop = GracefulStop(part, settle_s=0.0)
         async with anyio.create_task_group() as group:
             group.start_soon(stop.run)
@@ -59,8 +59,8 @@
         assert part.steps == [*before_end, "hand_over"]
 
     async def test_listener_stays_open_until_nothing_is_in_flight(self):
-        # SIGTERM comes while a stream runs, and its reader's connection breaks after that. The
-        # entry must reach the sidecar on a new connection, or the answer would be cut.
+        # A sidecar gets SIGTERM during a stream, and then the reader's connection fails. The entry
+        # must be able to open a new connection to the sidecar to read the rest of the response.
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=2)
             app = await path.sidecar(engine)
@@ -78,13 +78,13 @@
 
 
 class TestSidecarStop:
-    async def test_new_work_is_refused_as_not_run_and_work_in_flight_ends(self):
+    async def test_refuses_new_requests_as_not_run_and_finishes_those_in_flight(self):
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=0)
             app = await path.sidecar(engine)
             answers = []
 
-            async def note():
+            async def run_request():
                 ticket = app.keeper.tickets.mint("jury", boot_time_s())
                 heard = app.keeper.tickets.stamp(boot_time_s()).to_text()
                 envelope = attrs.evolve(
@@ -93,7 +93,7 @@
                 answers.append(await path.run(envelope, b"{}"))
 
             async with anyio.create_task_group() as group:
-                group.start_soon(note)
+                group.start_soon(run_request)
                 await eventually(lambda: engine.runs)
                 await path.tell(DRAIN_PATH, Drain())
                 refused = await path.run(Envelope("r2", "jury", "drafter", wait_s=1.0))
@@ -103,7 +103,7 @@
         assert (error_of(refused)["code"], error_of(refused)["ran"]) == ("endpoint_leaving", "no")
         assert (answers[0].content, in_flight) == (b'{"whole": true}', 1)
 
-    async def test_run_that_is_kept_for_a_resume_is_in_flight(self):
+    async def test_run_retained_for_a_resume_counts_as_in_flight(self):
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=2)
             app = await path.sidecar(engine)
@@ -117,10 +117,10 @@
 
 
 class TestEntryStop:
-    async def test_fifty_open_streams_end_whole_and_new_work_is_told_to_go_elsewhere(self):
-        # An entry gets SIGTERM with 50 streams open, and a second one during the stop. Its callers
-        # read whole answers; a new caller is told "not run" and when to ask again, elsewhere. On a
-        # busy machine 50 streams may take longer to open than the short silence of the other tests.
+    async def test_completes_fifty_open_streams_and_refuses_new_requests(self):
+        # An entry gets SIGTERM with 50 open streams, and another one during the stop. Its callers
+        # get complete responses; a new request is refused as "not run" with a Retry-After header.
+        # On a busy host, opening 50 streams may take longer than the other tests' idle timeout.
         async with path_of(view_with(silence_s=30.0, engine_silence_s=30.0)) as path:
             engine = ScriptedEngine(hold_at=2)
             await path.sidecar(engine)
@@ -158,7 +158,9 @@
             pytest.param("POST", CHAT, ("beryl-ticket", "t"), id="ticket"),
         ],
     )
-    async def test_claims_nothing_of_what_another_entry_may_have_run(self, method, target, header):
+    async def test_outcome_is_unknown_when_another_entry_may_have_run_it(
+        self, method, target, header
+    ):
         async with path_of() as path:
             entry = await path.entry()
             path.entry_app.refuse_new()
@@ -171,9 +173,9 @@
 
 
 class TestHandOver:
-    async def test_chats_that_lie_elsewhere_are_found_by_the_next_home(self):
-        # The home of some chats leaves. Their next home is told where they lie, so that they do
-        # not start cold there; what lay on the leaving endpoint is gone with its cache.
+    async def test_next_home_learns_where_chats_are_cached(self):
+        # The home of some chats leaves and sends their pointers to their next home, so that the
+        # chats don't start cold. Chats cached on the leaving endpoint itself are lost with it.
         async with path_of() as path:
             apps = [await path.sidecar(ScriptedEngine()) for _ in range(3)]
             for app in apps:
@@ -192,7 +194,7 @@
         assert known[0].keys() | known[1].keys() == set(range(40))
         assert set(known[0].values()) | set(known[1].values()) == {"drafter-1"}
 
-    async def test_heir_that_is_gone_does_not_hold_the_stop_up(self):
+    async def test_unreachable_successor_does_not_delay_the_stop(self):
         async with path_of() as path:
             app = await path.sidecar(ScriptedEngine())
             app.members.put(Endpoint("drafter-8", "drafter", "ahd-a", "127.0.0.1:1"))
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -20,23 +20,23 @@
 
 
 class TestEventId:
-    def test_names_stream_and_sequence_even_with_dots_in_the_endpoint(self):
+    def test_parses_stream_and_sequence_with_dots_in_the_endpoint_id(self):
         assert event_position(f"{NAME}.17") == (NAME, 17)
 
     @pytest.mark.parametrize("text", ["", "17", "a.b.17", "a.b.c.x", "a..c.1"])
-    def test_other_texts_are_not_ours(self, text):
+    def test_rejects_texts_of_another_format(self, text):
         assert event_position(text) is None
 
 
 class TestFrameCutter:
-    def test_holds_an_unfinished_frame_and_takes_crlf(self):
+    def test_buffers_an_incomplete_frame_and_accepts_crlf(self):
         cutter = FrameCutter()
 
         assert cutter.feed(b"data: a\r") == []
         assert cutter.feed(b"\n\r\ndata: b\n\nda") == [b"data: a", b"data: b"]
         assert cutter.partial
 
-    def test_a_frame_that_never_ends_is_overlong(self):
+    def test_frame_that_never_ends_is_overlong(self):
         cutter = FrameCutter(frame_bytes=10)
         cutter.feed(b"data: " + b"x" * 10)
         assert cutter.overlong
@@ -48,7 +48,7 @@
         numberer.number([b": ping", b"data: a", b": ping"])
         assert numberer.sequence == 1
 
-    def test_puts_the_count_into_the_last_frame_and_ends_there(self):
+    def test_adds_the_count_to_the_last_frame_and_drops_later_ones(self):
         numberer = FrameNumberer(NAME)
         frames = numberer.number([b"data: a", b"data: [DONE]", b"data: late"])
         assert frames[-1] == b": count=2\nid: drafter-0.gj.ab12.r1.2\ndata: [DONE]\n\n"
@@ -56,7 +56,7 @@
 
 class TestSequenceChecker:
     @pytest.mark.parametrize("size", [1, 7, 40, 10_000], ids=lambda size: f"{size}-byte-chunks")
-    def test_passes_a_whole_answer_however_it_is_cut(self, size):
+    def test_forwards_a_complete_response_for_any_chunk_size(self, size):
         data = b"".join(wire_frames(5))
         checker = SequenceChecker(NAME)
 
@@ -64,7 +64,7 @@
 
         assert (out, checker.complete) == (data, True)
 
-    def test_drops_duplicated_and_late_frames(self):
+    def test_drops_duplicate_and_late_frames(self):
         frames = wire_frames(3)
         checker = SequenceChecker(NAME)
 
@@ -73,7 +73,7 @@
         assert b"".join(out) == b"".join(frames)
         assert checker.complete
 
-    def test_stops_at_a_gap_until_the_rest_was_asked_for_again(self):
+    def test_stops_at_a_gap_until_restarted(self):
         frames = wire_frames(3)
         checker = SequenceChecker(NAME)
 
@@ -84,21 +84,21 @@
         assert checker.feed(b"".join(frames[1:])) == b"".join(frames[1:])
         assert checker.complete
 
-    def test_frames_of_another_stream_are_not_passed(self):
+    def test_drops_frames_of_another_stream(self):
         other = FrameNumberer(StreamName("drafter-0.gj", "ab12", "r2")).number([b"data: a"])
         assert SequenceChecker(NAME).feed(other[0]) == b""
 
-    def test_heartbeats_stay_between_our_processes(self):
+    def test_drops_heartbeats(self):
         assert SequenceChecker(NAME).feed(HEARTBEAT) == b""
 
-    def test_an_error_is_kept_apart_from_the_answer(self):
+    def test_error_is_stored_and_not_forwarded(self):
         checker = SequenceChecker(NAME)
         assert checker.feed(error_event(b"{}")) == b""
         assert (checker.error, checker.complete) == (b"{}", False)
 
 
 class TestFrameLog:
-    def test_keeps_what_no_reader_was_given_and_says_when_it_is_full(self):
+    def test_retains_unsent_frames_and_reports_when_full(self):
         log = FrameLog(limit_bytes=10)
         log.append([b"12345678"] * 3)
 
@@ -106,7 +106,7 @@
         assert log.after(0) == b"12345678" * 3
         assert not log.full
 
-    def test_drops_the_oldest_given_frames_above_the_bound(self):
+    def test_drops_the_oldest_sent_frames_above_the_limit(self):
         log = FrameLog(limit_bytes=16)
         for i in range(20):
             log.append([b"12345678"])
@@ -116,7 +116,7 @@
         assert not log.reaches(1)
         assert log.after(18) == b"12345678" * 2
 
-    def test_gives_the_same_frames_again_from_any_place_that_it_reaches(self):
+    def test_returns_the_same_frames_from_any_retained_sequence(self):
         frames = wire_frames(400)
         log = FrameLog(limit_bytes=4_096)
         for i, frame in enumerate(frames):
@@ -128,7 +128,7 @@
         assert [log.after(i) for i in reached] == [b"".join(frames[i:]) for i in reached]
         assert sum(map(len, frames[reached[0] :])) >= 4_096
 
-    def test_frames_that_were_given_are_kept_compressed(self):
+    def test_compresses_sent_frames(self):
         log = FrameLog(limit_bytes=65_536)
         for i, frame in enumerate(wire_frames(1_000)):
             log.append([frame])
@@ -137,5 +137,5 @@
         assert log.reaches(0)
         assert log.size_bytes < 16_384
 
-    def test_does_not_reach_a_sequence_that_never_was(self):
+    def test_does_not_reach_a_sequence_that_was_never_appended(self):
         assert not FrameLog(limit_bytes=10).reaches(1)
--- a/testing/test_tls.py
+++ b/testing/test_tls.py
@@ -11,13 +11,13 @@
 from beryljunction.settings import TlsSettings
 from beryljunction.tls import TlsContexts
 
-# Made for these tests and trusted by nothing else: "host-a" and its renewal are signed by the
-# fleet's authority, "stranger" by another one.
+# Test certificates, used nowhere else: "host-a" and its renewal are signed by the fleet's
+# authority, "stranger" by another one.
 CERTIFICATES = pathlib.Path(__file__).parent / "certificates"
 
 
-def installed(directory, name):
-    """Put a certificate in place, with the times of the files changed as a renewal would."""
+def install(directory, name):
+    """Install a certificate and key; like a renewal, this changes the files' times."""
     for suffix in ("pem", "key"):
         shutil.copyfile(CERTIFICATES / f"{name}.{suffix}", directory / f"host.{suffix}")
     authority = str(CERTIFICATES / "fleet-authority.pem")
@@ -34,7 +34,7 @@
 
 
 def ask(server_tls, *client_contexts):
-    """Serve over TLS and ask with one new connection for each client; return the answers."""
+    """Serve over TLS, send one request per client context, and return bodies or error types."""
 
     async def run():
         answers = []
@@ -71,14 +71,14 @@
 
 
 class TestTlsContexts:
-    def test_processes_of_the_fleet_reach_each_other(self):
+    def test_fleet_processes_can_connect_to_each_other(self):
         contexts = TlsContexts(settings_of("host-a"), is_mutual=True)
         other = TlsContexts(settings_of("host-a-renewed"), is_mutual=True)
 
         assert ask(contexts.server, other.client) == [b"hello"]
 
     @pytest.mark.parametrize("case", ["stranger", "no-certificate"])
-    def test_who_the_authority_did_not_sign_is_turned_away(self, case):
+    def test_rejects_clients_without_a_certificate_of_the_authority(self, case):
         contexts = TlsContexts(settings_of("host-a"), is_mutual=True)
         client = ssl.create_default_context(cafile=CERTIFICATES / "fleet-authority.pem")
         client.check_hostname = False
@@ -90,17 +90,17 @@
         assert answer != b"hello"
         assert issubclass(answer, (httpcore.NetworkError, httpcore.ProtocolError))
 
-    def test_server_that_the_authority_did_not_sign_is_not_talked_to(self):
+    def test_rejects_servers_without_a_certificate_of_the_authority(self):
         stranger = TlsContexts(settings_of("stranger", "other-authority"), is_mutual=False)
         client = TlsContexts(settings_of("host-a"), is_mutual=True).client
 
         assert ask(stranger.server, client) == [httpcore.ConnectError]
 
     def test_renewed_certificate_is_used_without_a_restart(self, tmp_path):
-        contexts = TlsContexts(installed(tmp_path, "host-a"), is_mutual=False)
+        contexts = TlsContexts(install(tmp_path, "host-a"), is_mutual=False)
         before = serial_of(contexts.server)
 
-        installed(tmp_path, "host-a-renewed")
+        install(tmp_path, "host-a-renewed")
         problem = contexts.read_again()
 
         assert problem == ""
@@ -108,18 +108,17 @@
         assert serial_of(contexts.server) != before
 
     def test_half_renewed_files_leave_the_old_certificate_in_use(self, tmp_path):
-        """The platform replaces a certificate and, a moment later, its key.
+        """A reload between the replacement of a certificate and of its key sees a mismatched pair.
 
-        In between the files don't belong together. The process reads them at that moment: it keeps
-        its old pair, says so, and takes the new pair with the next reading.
+        The process must keep the old pair, report the mismatch, and load the new pair next time.
         """
-        contexts = TlsContexts(installed(tmp_path, "host-a"), is_mutual=False)
+        contexts = TlsContexts(install(tmp_path, "host-a"), is_mutual=False)
         before = serial_of(contexts.server)
 
         shutil.copyfile(CERTIFICATES / "host-a-renewed.pem", tmp_path / "host.pem")
         problem = contexts.read_again()
         between = serial_of(contexts.server)
-        installed(tmp_path, "host-a-renewed")
+        install(tmp_path, "host-a-renewed")
 
         assert "mismatch" in problem.lower()
         assert between == before
--- a/testing/test_watches.py
+++ b/testing/test_watches.py
@@ -6,10 +6,10 @@
 
 
 class TestWatchList:
-    def test_silence_beyond_the_limit_ends_the_connection(self):
+    def test_connection_idle_beyond_the_limit_times_out(self):
         watches = WatchList()
 
-        def read_in_vain():
+        def read_nothing():
             with watches.watch(limit_s=3.0) as watch:
                 watches.tick(watch.heard_s + 2.9)
                 assert not watch.fired
@@ -17,9 +17,9 @@
                 assert watch.fired
 
         with pytest.raises(httpcore.ReadTimeout):
-            _in_a_task(read_in_vain)
+            _run_in_event_loop(read_nothing)
 
-    def test_a_slow_caller_is_no_silence(self):
+    def test_time_waiting_for_a_slow_caller_is_not_counted(self):
         watches = WatchList()
 
         def wait_for_the_caller():
@@ -30,10 +30,10 @@
                 watches.tick(watch.heard_s + 2.9)
                 assert not watch.fired
 
-        _in_a_task(wait_for_the_caller)
+        _run_in_event_loop(wait_for_the_caller)
 
 
-def _in_a_task(block):
+def _run_in_event_loop(block):
     async def run():
         block()
 
--- a/testing/virtual_time.py
+++ b/testing/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs coroutines in virtual time: each waits by yielding how long it sleeps."""
+"""Runs coroutines in virtual time; a coroutine sleeps by yielding a number of seconds."""
 
 import heapq
 import itertools
@@ -17,7 +17,7 @@
 
 
 class Scheduler:
-    """Coroutines by wake-up time; those of a paused owner stand still where they are."""
+    """Runs coroutines in order of wake-up time; those of a paused owner are suspended."""
 
     def __init__(self):
         self.now_s = 0.0
