--- a/src/beryljunction/errors.py
+++ b/src/beryljunction/errors.py
@@ -31,7 +31,7 @@
 
 
 class StartError(BerylError):
-    """A process can't start, for example because an address is in use."""
+    """A process can't start, e.g. an address is in use or a certificate is unreadable."""
 
 
 class InvariantError(BerylError):
--- a/src/beryljunction/timeline.py
+++ b/src/beryljunction/timeline.py
@@ -23,7 +23,7 @@
     """An event in one process.
 
     Attributes:
-        wall_ms: Milliseconds since the epoch; never less than those of an event received before.
+        wall_ms: Milliseconds since the epoch; never less than that of any event received before.
         logical: Orders events of the same millisecond.
     """
 
@@ -73,7 +73,7 @@
     """Ring buffers with the events of one process.
 
     Ordinary and notable events have separate buffers. At thousands of requests per second the
-    ordinary events fill theirs within a minute, and a refusal must remain visible for longer.
+    ordinary events fill theirs within a minute; operators need to find a refusal for longer.
     """
 
     def __init__(
--- a/src/beryljunction/wire/messages.py
+++ b/src/beryljunction/wire/messages.py
@@ -50,7 +50,7 @@
         attempt: Number of the attempt; a tombstone blocks one attempt, not the later ones.
         chat_key: 64-bit hash of account and chat id; None for a request without a chat.
         chat_id: The engine's id of the chat; empty without a chat or when the id is too long.
-        wait_s: Longest time in the queue. It is relative because the clocks of hosts differ.
+        wait_s: Longest wait for the start; relative, because the clocks of hosts differ.
         streamed: Whether the response is a stream of server-sent events.
         method: HTTP method of the request to the endpoint.
         path: Path and query of the request to the endpoint.
@@ -59,7 +59,7 @@
         ticket: Ticket that the request runs under; None for idempotent requests.
         heard: Last stamp of this sidecar that the entry received before it sent the request.
         heard_age_s: Seconds between receiving that stamp and sending the request.
-        candidates: Stamps of the sidecars that may take over from a burned ticket.
+        candidates: Stamps of the sidecars where a request with a burned ticket may continue.
     """
 
     request_id: str
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -1,4 +1,4 @@
-"""Marks the tests listed in KNOWN-RED.txt, and no others, as expected failures; shared fixtures."""
+"""Marks tests in KNOWN-RED.txt, and no others, as xfail, so that reports list them; fixtures."""
 
 import json
 import pathlib
