--- a/src/beryljunction/sidecar/__init__.py
+++ b/src/beryljunction/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside each endpoint."""
+"""The sidecar: the process that runs on the host of each endpoint and sends it requests."""
 
 from beryljunction.sidecar.app import SidecarApp
 from beryljunction.sidecar.calls import Call, Handler
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -1,4 +1,4 @@
-"""The process beside an endpoint, as the fleet's other processes call it."""
+"""HTTP interface of a sidecar for the other processes of the fleet."""
 
 import hmac
 import ssl
@@ -45,16 +45,18 @@
 
 
 class SidecarApp(Stoppable):
-    """ASGI application of a sidecar; decisions are left to its systems.
+    """ASGI application of a sidecar; the decisions are made in `beryljunction.systems`.
 
     Args:
-        routes: Further control routes by path, such as the exchange with peers.
-        members: Endpoints as this process knows them, for what it hands over.
-        tls: For calls to other sidecars.
-        fleet: Pool for those calls that counts them as control traffic; without it one of its own.
+        routes: Additional control routes by path, such as the load exchange with peers.
+        members: Known endpoints, among which the receivers of a handover are selected.
+        tls: TLS settings for calls to other sidecars.
+        fleet: Pool for those calls that counts them as control traffic. By default the app uses a
+            pool of its own.
 
     Attributes:
-        incarnation: Names this process's life; a sidecar that starts anew has forgotten every run.
+        incarnation: Unique id of this process start. Runs are kept in memory only, so a restarted
+            sidecar knows none of the earlier ones.
     """
 
     def __init__(
@@ -82,7 +84,7 @@
         log = HttpLogClient(address, self._log_pool) if address else None
         keys = KeyClaims(log, self.incarnation, file.process.log_retention_s)
         receiver = PrefixReceiver(self.admission, self.keeper.prefixes, self.keeper.kv)
-        self.handover = self._prefix_handover()
+        self.handover = self._create_prefix_handover()
         self._control = ControlRoutes(file, self.incarnation, self.keeper, keys, self.timeline)
         self.routes: dict[str, Handler] = {
             RUN_PATH: self._handle_run,
@@ -92,16 +94,16 @@
             **self._control.routes(),
             **(routes or {}),
         }
-        self._limit_handover()
+        self._apply_handover_limits()
 
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
         self.view = view
         self.keeper.apply(view)
-        self._limit_handover()
+        self._apply_handover_limits()
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Work until cancelled."""
+        """Run the background tasks until cancelled."""
         async with self._own_pool, self._log_pool, anyio.create_task_group() as group:
             self._control.group = group
             await group.start(self.keeper.run)
@@ -109,7 +111,7 @@
             task_status.started()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one HTTP request of another process of the fleet."""
+        """Serve one HTTP request from another process of the fleet."""
         headers = dict(scope["headers"])
         self.timeline.clock.heard_stamp(headers.get(HLC_HEADER))
         writer = Writer(send, self.keeper.tombstones.stamp(boot_time_s()), self.timeline.clock)
@@ -124,28 +126,28 @@
             await handler(Call(headers, receive, writer))
 
     def status(self) -> SidecarStatus:
-        """Return what this sidecar is doing."""
+        """Return the current state of this sidecar."""
         return self._control.status()
 
     @property
     def in_flight(self) -> int:
-        """Runs that are not over: waiting, running or kept for a reader that comes back."""
+        """Number of runs that wait, run or are kept for a reader that may reconnect."""
         return len(self.runs)
 
     def refuse_new(self) -> None:
-        """Take no new work any more; what was admitted goes on."""
+        """Refuse new requests; admitted ones continue."""
         self._control.stopping = True
         self.admission.leaving = True
 
     async def hand_over(self) -> None:
-        """Give prefixes and chat pointers to the sidecars that are asked for those chats next."""
+        """Send cached prefixes and chat pointers to the sidecars that get these chats next."""
         await self.handover.finish()
         pointers = self.admission.pointers
         heirs = heirs_of(pointers, self.members, self.file.service, time.monotonic())
         await hand_pointers_over(self._fleet_pool, self._fleet_key, heirs)
         self.timeline.add("handed_over", detail=str(sum(len(rows) for _, rows in heirs)))
 
-    def _prefix_handover(self) -> PrefixHandover:
+    def _create_prefix_handover(self) -> PrefixHandover:
         return PrefixHandover(
             HandoverSystem(self.file.endpoint_id, self.file.service, self.file.process.region),
             self.admission,
@@ -157,7 +159,7 @@
             self.timeline,
         )
 
-    def _limit_handover(self) -> None:
+    def _apply_handover_limits(self) -> None:
         service = self.keeper.service
         self.handover.limit_s = service.handover_s
         self.handover.system.limits = HandoverLimits(
@@ -167,8 +169,11 @@
         )
 
     @property
-    def _pending_s(self) -> float:
-        """Wait of a reader for something to read: short of the silence that it would act on."""
+    def _pending_timeout_s(self) -> float:
+        """Time after which a reader with no data is told to ask again.
+
+        Half the silence timeout, so that the reader does not take the connection for broken.
+        """
         return self.keeper.service.silence_s / 2
 
     async def _handle_run(self, call: Call) -> None:
@@ -187,16 +192,16 @@
         await self._answer(call, envelope, body)
 
     async def _answer(self, call: Call, envelope: Envelope, body: bytes) -> None:
-        found = self.keeper.accept(envelope, body)
-        if isinstance(found, Refusal):
-            self.timeline.add("refused", envelope.request_id, found.code)
-            await call.writer.refuse(found, envelope.request_id)
-        elif isinstance(found, Answer):
+        result = self.keeper.accept(envelope, body)
+        if isinstance(result, Refusal):
+            self.timeline.add("refused", envelope.request_id, result.code)
+            await call.writer.refuse(result, envelope.request_id)
+        elif isinstance(result, Answer):
             self.timeline.add("replayed", envelope.request_id)
-            await call.writer.answer(found)
+            await call.writer.answer(result)
         else:
-            place = Place(envelope.request_id, 0, self._pending_s)
-            await serve_reader(found, self.keeper.name(found), place, call.receive, call.writer)
+            place = Place(envelope.request_id, 0, self._pending_timeout_s)
+            await serve_reader(result, self.keeper.name(result), place, call.receive, call.writer)
 
     async def _handle_attach(self, call: Call) -> None:
         attach = await call.message(Attach)
@@ -207,7 +212,7 @@
             await call.writer.refuse(run, attach.request_id)
             return
         self.timeline.add("attached", attach.request_id, str(attach.after))
-        place = Place(attach.request_id, attach.after, self._pending_s, alone=attach.resume)
+        place = Place(attach.request_id, attach.after, self._pending_timeout_s, alone=attach.resume)
         await serve_reader(run, self.keeper.name(run), place, call.receive, call.writer)
 
     async def _handle_cancel(self, call: Call) -> None:
--- a/src/beryljunction/sidecar/calls.py
+++ b/src/beryljunction/sidecar/calls.py
@@ -1,4 +1,4 @@
-"""Calls that other processes of the fleet make to a sidecar."""
+"""Requests from other processes of the fleet to a sidecar."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -12,23 +12,23 @@
 
 __all__ = ["Call", "Handler"]
 
-_CONTROL_BYTES = 262_144
+_MAX_CONTROL_MESSAGE_BYTES = 262_144
 
 T = TypeVar("T")
 
 
 @attrs.frozen
 class Call:
-    """One HTTP request of another process of the fleet, its key checked."""
+    """One HTTP request from another process of the fleet; its fleet key has been checked."""
 
     headers: dict[bytes, bytes]
     receive: Receive
     writer: Writer
 
     async def message(self, cls: type[T]) -> T | None:
-        """Return the message in the body; None when it is unreadable and was refused."""
+        """Decode the body; send a refusal and return None when that fails."""
         try:
-            return decode(await read_body(self.receive, _CONTROL_BYTES) or b"", cls)
+            return decode(await read_body(self.receive, _MAX_CONTROL_MESSAGE_BYTES) or b"", cls)
         except ValueError as error:
             refusal = Refusal(RefusalCode.BAD_REQUEST, str(error), Ran.UNKNOWN)
             await self.writer.refuse(refusal, "")
--- a/src/beryljunction/sidecar/control.py
+++ b/src/beryljunction/sidecar/control.py
@@ -1,4 +1,4 @@
-"""Control messages to a sidecar: tickets, keys, chat pointers, drain and status."""
+"""Control requests to a sidecar: tickets, idempotency keys, chat pointers, drain and status."""
 
 import time
 
@@ -32,11 +32,11 @@
 
 
 class ControlRoutes:
-    """Handlers of the control messages.
+    """Handlers of the control requests.
 
     Attributes:
-        group: Where work that outlives its message runs; set while the sidecar runs.
-        stopping: Whether the process stops, which no message takes back.
+        group: Runs work that outlives its request; set while the sidecar runs.
+        stopping: Whether the process is stopping; a drain request cannot undo this.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
     def routes(self) -> dict[str, Handler]:
         """Return the handlers by path."""
         return {
-            CLAIM_PATH: self._claim,
-            DRAIN_PATH: self._drain,
-            MOVED_PATH: self._moved,
-            POINTERS_PATH: self._pointers,
-            STATUS_PATH: self._status,
-            TICKET_PATH: self._ticket,
+            CLAIM_PATH: self._handle_claim,
+            DRAIN_PATH: self._handle_drain,
+            MOVED_PATH: self._handle_chat_moved,
+            POINTERS_PATH: self._handle_pointers,
+            STATUS_PATH: self._handle_status,
+            TICKET_PATH: self._handle_ticket,
         }
 
     def status(self) -> SidecarStatus:
-        """Return what this sidecar is doing."""
+        """Return the current state of this sidecar."""
         admission = self._keeper.admission
         return SidecarStatus(
             endpoint_id=self._file.endpoint_id,
@@ -79,50 +79,50 @@
             kept=sum(run.ended_s is not None for run in self._keeper.runs),
         )
 
-    async def _ticket(self, call: Call) -> None:
-        wish = await call.message(TicketWish)
-        if wish is not None:
-            ticket = self._keeper.tickets.mint(wish.account, boot_time_s())
+    async def _handle_ticket(self, call: Call) -> None:
+        request = await call.message(TicketWish)
+        if request is not None:
+            ticket = self._keeper.tickets.mint(request.account, boot_time_s())
             await call.writer.done(encode(TicketGrant(ticket)))
 
-    async def _claim(self, call: Call) -> None:
-        wish = await call.message(KeyWish)
-        if wish is None:
+    async def _handle_claim(self, call: Call) -> None:
+        request = await call.message(KeyWish)
+        if request is None:
             return
         assert self.group is not None
-        claim = KeyClaim(wish.key, wish.body, wish.ticket)
-        verdict = await self._keys.settle(self.group, wish.shard, wish.request_id, claim)
+        claim = KeyClaim(request.key, request.body, request.ticket)
+        verdict = await self._keys.settle(self.group, request.shard, request.request_id, claim)
         if isinstance(verdict, (KeyWon, KeyLost)):
             await call.writer.done(encode(TicketGrant(verdict.ticket)))
         else:
-            await call.writer.refuse(key_refusal(verdict), wish.request_id)
+            await call.writer.refuse(key_refusal(verdict), request.request_id)
 
-    async def _drain(self, call: Call) -> None:
+    async def _handle_drain(self, call: Call) -> None:
         drain = await call.message(Drain)
         if drain is not None:
             self._keeper.admission.leaving = drain.leaving or self.stopping
             self._timeline.add("drain", detail=str(drain.leaving))
             await call.writer.done(encode(self.status()))
 
-    async def _moved(self, call: Call) -> None:
-        moved = await call.message(ChatMoved)
-        if moved is not None:
-            self._take_pointer(moved)
+    async def _handle_chat_moved(self, call: Call) -> None:
+        pointer = await call.message(ChatMoved)
+        if pointer is not None:
+            self._record_pointer(pointer)
             await call.writer.done()
 
-    async def _pointers(self, call: Call) -> None:
+    async def _handle_pointers(self, call: Call) -> None:
         pointers = await call.message(PointerList)
         if pointers is None:
             return
-        for moved in pointers.rows:
-            self._take_pointer(moved)
+        for pointer in pointers.rows:
+            self._record_pointer(pointer)
         self._timeline.add("pointers_taken", detail=str(len(pointers.rows)))
         await call.writer.done()
 
-    def _take_pointer(self, moved: ChatMoved) -> None:
+    def _record_pointer(self, pointer: ChatMoved) -> None:
         self._keeper.admission.pointers.placed(
-            moved.chat_key, moved.endpoint_id, moved.tokens, time.monotonic()
+            pointer.chat_key, pointer.endpoint_id, pointer.tokens, time.monotonic()
         )
 
-    async def _status(self, call: Call) -> None:
+    async def _handle_status(self, call: Call) -> None:
         await call.writer.done(encode(self.status()))
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint as its sidecar calls it: run, resume after silence, cancel."""
+"""Client for the endpoint: runs requests, resumes broken streams and cancels work."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -16,35 +16,35 @@
 
 __all__ = ["EndpointClient"]
 
-_CONNECT_S = 2.0
-_CANCEL_S = 2.0
-_SILENCE_S = 10.0
-_REQUEST_S = 600.0
-_ANSWER_BYTES = 16_777_216
-# An engine that breaks off three times without a new token is broken; each try costs the caller
-# time in which the error could have sent it elsewhere.
-_MAX_FAILURES = 3
+_CONNECT_TIMEOUT_S = 2.0
+_CANCEL_TIMEOUT_S = 2.0
+_DEFAULT_SILENCE_TIMEOUT_S = 10.0
+_DEFAULT_REQUEST_TIMEOUT_S = 600.0
+_DEFAULT_MAX_ANSWER_BYTES = 16_777_216
+# An engine that breaks off three times without a new token is taken as broken. Each further attempt
+# would delay the error that lets the caller retry at another endpoint.
+_MAX_RESUME_FAILURES = 3
 _BACKOFF_S = 0.1
 _PRIORITY_HEADER = "x-priority"
 _EVENT_STREAM = b"text/event-stream"
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (b"connection", b"transfer-encoding", b"content-length", b"keep-alive", b"date", b"server")
 )
-_BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
-_NOT_CONNECTED = (httpcore.ConnectError, httpcore.ConnectTimeout)
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+_CONNECT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
 
 
 class EndpointClient:
-    """Carries runs to one endpoint and its answers back into the runs.
+    """Sends requests to one endpoint and stores the answers in their runs.
 
     Args:
         address: Base URL of the endpoint.
-        speed: Counts the frames that the endpoint sends.
+        speed: Counts the frames from the endpoint.
 
     Attributes:
-        silence_s: Silence of an open stream after which it is resumed on a new connection.
-        request_s: Longest wait for an answer that is not streamed.
-        answer_bytes: Longest answer that is not streamed.
+        silence_s: Time without data after which a stream is resumed on a new connection.
+        request_s: Timeout of an answer that is not streamed.
+        answer_bytes: Maximum size of an answer that is not streamed.
     """
 
     def __init__(
@@ -58,21 +58,21 @@
         self._pool = pool
         self._watches = watches
         self._address = address
-        self.silence_s = _SILENCE_S
-        self.request_s = _REQUEST_S
-        self.answer_bytes = _ANSWER_BYTES
+        self.silence_s = _DEFAULT_SILENCE_TIMEOUT_S
+        self.request_s = _DEFAULT_REQUEST_TIMEOUT_S
+        self.answer_bytes = _DEFAULT_MAX_ANSWER_BYTES
 
     async def carry(self, run: Run, name: StreamName, priority: int | None = None) -> None:
-        """Run the request and fill the run with its answer, or with the reason why there is none.
+        """Send the request and store its answer, or the reason for the failure, in the run.
 
-        Whatever happens after the first byte may have gone out and before the endpoint has
-        answered leaves the outcome unknown.
+        A failure after the first byte may have been sent and before the endpoint has answered
+        leaves the outcome unknown.
 
         Args:
-            run: The request, which gets the answer.
+            run: The run to execute.
             name: Name of the run's stream.
-            priority: What an engine is told of the request; None for a plain service, which gets
-                its caller's headers and nothing else.
+            priority: Priority of the request at an engine; None for a plain service, which gets
+                no priority header.
         """
         numberer = FrameNumberer(name)
         run.ran = Ran.UNKNOWN
@@ -80,24 +80,24 @@
             async with self._open(run, priority) as (response, watch):
                 run.ran = Ran.YES
                 if not _is_stream(run, response):
-                    await self._take_answer(run, response)
+                    await self._read_answer(run, response)
                     return
-                await self._take_frames(run, response, numberer, watch)
-        except _NOT_CONNECTED:
+                await self._read_frames(run, response, numberer, watch)
+        except _CONNECT_ERRORS:
             run.ran = Ran.NO
             message = "the endpoint did not take the connection; no byte of the request was sent"
             run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
             return
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             message = f"the connection to the endpoint broke: {type(error).__name__}"
             run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, run.ran)
         if run.envelope.streamed and run.answer is None and not numberer.done:
             await self._resume(run, numberer)
-        self._conclude(run, numberer)
+        self._set_outcome(run, numberer)
 
     async def cancel(self, request_id: str) -> None:
-        """Tell an engine to stop working for a request; a failure costs only the work."""
-        with anyio.move_on_after(_CANCEL_S, shield=True):
+        """Tell an engine to cancel a request; on failure the engine only does needless work."""
+        with anyio.move_on_after(_CANCEL_TIMEOUT_S, shield=True):
             try:
                 await self._pool.request(
                     "POST",
@@ -105,7 +105,7 @@
                     headers=[(b"content-type", b"application/json")],
                     content=b'{"request_id": "%s"}' % request_id.encode(),
                 )
-            except _BROKEN:
+            except _CONNECTION_ERRORS:
                 return
 
     @asynccontextmanager
@@ -123,11 +123,11 @@
                 self._address + envelope.path,
                 headers=headers,
                 content=run.body,
-                extensions={"timeout": {"connect": _CONNECT_S}},
+                extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
                 yield response, watch
 
-    async def _take_answer(self, run: Run, response: httpcore.Response) -> None:
+    async def _read_answer(self, run: Run, response: httpcore.Response) -> None:
         parts = []
         size = 0
         async for part in response.aiter_stream():
@@ -137,10 +137,10 @@
                 run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.YES)
                 return
             parts.append(part)
-        headers = [(k, v) for k, v in response.headers if k.lower() not in _HOP_HEADERS]
+        headers = [(k, v) for k, v in response.headers if k.lower() not in _HOP_BY_HOP_HEADERS]
         run.answer = Answer(response.status, tuple(headers), b"".join(parts))
 
-    async def _take_frames(
+    async def _read_frames(
         self, run: Run, response: httpcore.Response, numberer: FrameNumberer, watch: Watch
     ) -> None:
         cutter = FrameCutter()
@@ -149,7 +149,7 @@
             if cutter.overlong:
                 return
             if frames:
-                # A slow caller holds this up; that is not the endpoint's silence.
+                # A slow reader may block here; that does not count as silence of the endpoint.
                 watch.paused = True
                 self._speed.note(len(frames))
                 await run.add_frames(frames)
@@ -157,36 +157,36 @@
             watch.heard()
 
     async def _resume(self, run: Run, numberer: FrameNumberer) -> None:
-        """Ask for the rest on new connections until the answer is whole or the engine gives up."""
+        """Request the rest on new connections until the answer is complete or resuming fails."""
         failures = 0
-        while not numberer.done and failures < _MAX_FAILURES:
-            before = numberer.sequence
+        while not numberer.done and failures < _MAX_RESUME_FAILURES:
+            sequence_before = numberer.sequence
             await drop_idle(self._pool, self._address)
             await anyio.sleep(_BACKOFF_S * failures)
             if not await self._resume_once(run, numberer):
                 return
-            failures = 0 if numberer.sequence > before else failures + 1
+            failures = 0 if numberer.sequence > sequence_before else failures + 1
 
     async def _resume_once(self, run: Run, numberer: FrameNumberer) -> bool:
-        """Take up the stream once; False when the engine does not have it."""
+        """Resume the stream once; return False when the engine does not have it."""
         path = f"/v1/streams/{run.envelope.request_id}?after={numberer.sequence}"
         try:
             with self._watches.watch(self.silence_s) as watch:
                 async with self._pool.stream(
                     "GET",
                     self._address + path,
-                    extensions={"timeout": {"connect": _CONNECT_S}},
+                    extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
                 ) as response:
                     if response.status != 200:
                         return False
                     run.ran = Ran.YES
-                    await self._take_frames(run, response, numberer, watch)
-        except _BROKEN:
+                    await self._read_frames(run, response, numberer, watch)
+        except _CONNECTION_ERRORS:
             return True
         return True
 
     @staticmethod
-    def _conclude(run: Run, numberer: FrameNumberer) -> None:
+    def _set_outcome(run: Run, numberer: FrameNumberer) -> None:
         if numberer.done:
             run.complete = True
             run.refusal = None
@@ -199,5 +199,7 @@
 
 
 def _is_stream(run: Run, response: httpcore.Response) -> bool:
-    kind = next((v for k, v in response.headers if k.lower() == b"content-type"), b"")
-    return run.envelope.streamed and response.status == 200 and kind.startswith(_EVENT_STREAM)
+    content_type = next((v for k, v in response.headers if k.lower() == b"content-type"), b"")
+    return (
+        run.envelope.streamed and response.status == 200 and content_type.startswith(_EVENT_STREAM)
+    )
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -1,4 +1,4 @@
-"""The runs of one endpoint: what is taken, started, kept, ended and forgotten."""
+"""Life cycle of the runs of one endpoint, from acceptance until their answers expire."""
 
 import time
 
@@ -39,10 +39,12 @@
 __all__ = ["RunKeeper"]
 
 _TICK_S = 0.05
-_ENGINE = "engine"
-_LATE = "this try arrived after its sender was told that it did not run; it will not run"
-_NOT_TAKEN = {
-    Arrival.BURIED: Refusal(RefusalCode.CANCELLED, _LATE, Ran.NO),
+_ENGINE_KIND = "engine"
+_TOMBSTONED_MESSAGE = (
+    "this try arrived after its sender was told that it did not run; it will not run"
+)
+_ARRIVAL_REFUSALS = {
+    Arrival.BURIED: Refusal(RefusalCode.CANCELLED, _TOMBSTONED_MESSAGE, Ran.NO),
     Arrival.CLOSED: Refusal(RefusalCode.OVERLOADED, "too many requests; ask again", Ran.NO, 1.0),
     Arrival.TOO_OLD: Refusal(
         RefusalCode.OUTCOME_UNKNOWN, "arrived too late to tell whether it was here", Ran.UNKNOWN
@@ -50,31 +52,32 @@
 }
 
 
-def _not_taken(arrival: Arrival, envelope: Envelope) -> Refusal:
-    """Refuse a try that the tombstones do not let in.
+def _arrival_refusal(arrival: Arrival, envelope: Envelope) -> Refusal:
+    """Return the refusal of an attempt that the tombstones reject.
 
-    Of the ticket it says nothing, which was not looked at: an earlier try may have run, and a "no"
-    for this one would deny that. So its sender is to send again under a fresh stamp.
+    The ticket of a non-idempotent request has not been checked at this point. An earlier attempt
+    under it may have run, which a plain "not run" would deny, so the sender is told to send the
+    request again with a new stamp.
     """
-    refusal = _NOT_TAKEN[arrival]
+    refusal = _ARRIVAL_REFUSALS[arrival]
     if envelope.idempotent or refusal.ran is not Ran.NO:
         return refusal
     return attrs.evolve(refusal, code=RefusalCode.STALE_STAMP)
 
 
 class RunKeeper:
-    """Takes requests, runs them at the endpoint and keeps their answers for their readers.
+    """Accepts requests, runs them at the endpoint and keeps their answers for the readers.
 
     Args:
-        incarnation: Names this process's life.
+        incarnation: Unique id of this process start.
     """
 
     def __init__(
         self, file: SidecarFile, view: FleetView, incarnation: str, timeline: Timeline
     ) -> None:
-        name = (file.endpoint_id, incarnation, boot_time_s())
-        self.tickets = TicketLedger(TicketMint(file.process.fleet_key.encode()), *name)
-        self.tombstones = TombstoneSystem(*name)
+        start = (file.endpoint_id, incarnation, boot_time_s())
+        self.tickets = TicketLedger(TicketMint(file.process.fleet_key.encode()), *start)
+        self.tombstones = TombstoneSystem(*start)
         self.admission = AdmissionSystem(
             AdmissionLimits(),
             LoadSystem(file.endpoint_id, incarnation),
@@ -95,14 +98,14 @@
         self.apply(view)
 
     def apply(self, view: FleetView) -> None:
-        """Put settings in force."""
+        """Apply new settings."""
         self._view = view
         service = self.service
         self.admission.limits = AdmissionLimits.from_service(service)
         self.admission.weights = {name: row.weight for name, row in view.accounts.items()}
         self.admission.account_waiting = {
-            account: own.max_waiting_per_account
-            for (account, name), own in view.account_services.items()
+            account: service_settings.max_waiting_per_account
+            for (account, name), service_settings in view.account_services.items()
             if name == self._file.service
         }
         self.runs.kept_total_bytes = view.limits.kept_total_bytes
@@ -112,54 +115,58 @@
 
     @property
     def service(self) -> ServiceSettings:
-        """Settings of the endpoint's service."""
+        """Settings of the service that the endpoint belongs to."""
         return self._view.services[self._file.service]
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Work until cancelled."""
+        """Run the background tasks until cancelled."""
         async with self._pool, anyio.create_task_group() as self._group:
             self._group.start_soon(self.watches.run)
-            self._group.start_soon(self._keep)
+            self._group.start_soon(self._beat_and_expire)
             task_status.started()
             while True:
                 await anyio.sleep(_TICK_S)
                 self._tick()
 
     def accept(self, envelope: Envelope, body: bytes) -> Run | Answer | Refusal:
-        """Return the run to read, a new one or one under way already, an answer or a refusal."""
-        heard = Stamp.from_text(envelope.heard)
-        if envelope.idempotent and self.tombstones.names_earlier_start(heard):
+        """Return a new or existing run to read, a stored answer or a refusal."""
+        heard_stamp = Stamp.from_text(envelope.heard)
+        if envelope.idempotent and self.tombstones.names_earlier_start(heard_stamp):
             message = "sent to an earlier start of this sidecar, which may have run it; send again"
             return Refusal(RefusalCode.STALE_STAMP, message, Ran.UNKNOWN, 0.0)
-        try_id = _try_id(envelope)
-        arrival = self.tombstones.arrive(try_id, heard, envelope.heard_age_s, boot_time_s())
-        if arrival in _NOT_TAKEN:
-            return _not_taken(arrival, envelope)
-        known = self.runs.get(envelope.request_id)
-        if known is not None and not known.refused_unrun:
-            return known
+        attempt_id = _attempt_id(envelope)
+        arrival = self.tombstones.arrive(
+            attempt_id, heard_stamp, envelope.heard_age_s, boot_time_s()
+        )
+        if arrival in _ARRIVAL_REFUSALS:
+            return _arrival_refusal(arrival, envelope)
+        existing = self.runs.get(envelope.request_id)
+        if existing is not None and not existing.refused_unrun:
+            return existing
         if arrival is Arrival.DUPLICATE and envelope.ticket is None:
             message = "this try was here before and its answer is no longer kept"
             return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
         if envelope.idempotent:
-            return self._admit(Run(envelope, body, FrameLog(self._log_bytes(envelope))))
-        return self._accept_once(envelope, body)
+            return self._admit(Run(envelope, body, FrameLog(self._frame_log_bytes(envelope))))
+        return self._accept_non_idempotent(envelope, body)
 
-    def _accept_once(self, envelope: Envelope, body: bytes) -> Run | Answer | Refusal:
-        """Go by the ledger: a request that may not be repeated runs under a ticket, once."""
+    def _accept_non_idempotent(self, envelope: Envelope, body: bytes) -> Run | Answer | Refusal:
+        """Accept a non-idempotent request; the ledger lets each ticket run at most once."""
         claim = self._ledger.claim(envelope, body)
         if isinstance(claim, Replay) and claim.answer is not None:
             return claim.answer
         if isinstance(claim, AlreadyRunning):
-            return self._join(claim, envelope)
+            return self._join_run(claim, envelope)
         if isinstance(claim, Claimed):
-            run = Run(envelope, body, FrameLog(self._log_bytes(envelope)), serial=claim.serial)
+            run = Run(
+                envelope, body, FrameLog(self._frame_log_bytes(envelope)), serial=claim.serial
+            )
             return self._admit(run)
         refusal = claim_refusal(claim)
         assert refusal is not None
         return refusal
 
-    def _join(self, claim: AlreadyRunning, envelope: Envelope) -> Run | Refusal:
+    def _join_run(self, claim: AlreadyRunning, envelope: Envelope) -> Run | Refusal:
         run = self.runs.get(claim.request_id)
         if run is None:
             message = "the request runs here, and its run can't be read; ask again"
@@ -185,12 +192,12 @@
     def _priority(self, envelope: Envelope) -> int:
         """Return the priority of a client account at this service.
 
-        Load: more runs than the engine batches, long work beside short. Harm: without it a
-        programmer who waits for a first word stands behind a night's batch. It comes from the
-        settings and not from callers, who would all ask for the highest. It can't starve others:
-        the fair queue gives each account its places here whatever its priority, and the engine
-        holds no more than those, so low priorities that wait there soon hold all the places that
-        are not batched, and each end of a batched run then starts one of them.
+        When the engine has more runs than it batches, an interactive request would otherwise wait
+        behind long batch work. The priority comes from the settings, since callers would all ask
+        for the highest. It cannot starve others: the fair queue gives each account its slots
+        regardless of priority, and the engine holds only the runs in these slots. So runs of low
+        priority that wait in the engine soon hold all slots that are not batched, and then each
+        batched run that ends starts one of them.
         """
         return self._view.service_for(self._file.service, envelope.account).priority
 
@@ -198,28 +205,37 @@
         return self._view.service_for(self._file.service, run.envelope.account).resume_s
 
     def _engine_priority(self, run: Run) -> int | None:
-        return self._priority(run.envelope) if self.service.kind == _ENGINE else None
+        return self._priority(run.envelope) if self.service.kind == _ENGINE_KIND else None
+
+    def _frame_log_bytes(self, envelope: Envelope) -> int:
+        """Return the maximum size of a run's frame log.
 
-    def _log_bytes(self, envelope: Envelope) -> int:
-        """Bound of a stream's log; one that may not run again is kept whole for its retry."""
+        The log of a non-idempotent request holds the whole answer, since a retry must get it
+        without a second run.
+        """
         if envelope.idempotent:
             return self.service.kept_bytes
         return self._view.limits.answer_bytes
 
     def find(self, attach: Attach) -> Run | Refusal:
-        """Return the run that a reader wants to take up."""
+        """Return the run that a reader asks for, or a refusal."""
         run = self.runs.get(attach.request_id)
         if run is None or run.envelope.account != attach.account:
-            return self._not_here(attach)
+            return self._unknown_run_refusal(attach)
         return run
 
-    def _not_here(self, attach: Attach) -> Refusal:
-        """Answer truthfully for a run that is not known: "not run" only with a tombstone."""
+    def _unknown_run_refusal(self, attach: Attach) -> Refusal:
+        """Return the refusal for an unknown run.
+
+        It says "not run" only if a tombstone ensures that a late arrival will not run either.
+        """
         if attach.resume:
             message = "expected a stream that is still kept; it ended, or never was here"
             return Refusal(RefusalCode.NOT_FOUND, message, Ran.UNKNOWN)
-        heard = Stamp.from_text(attach.heard)
-        asked = self.tombstones.ask(_try_id(attach), heard, attach.heard_age_s, boot_time_s())
+        heard_stamp = Stamp.from_text(attach.heard)
+        asked = self.tombstones.ask(
+            _attempt_id(attach), heard_stamp, attach.heard_age_s, boot_time_s()
+        )
         if asked is Asked.NOT_RUN:
             message = "the request never arrived here and will be refused if it does"
             return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO)
@@ -227,18 +243,22 @@
         return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
 
     def hang_up(self, cancel: Cancel) -> None:
-        """End work that nobody can want any more; a stream may still be resumed for a while."""
+        """Cancel a run whose caller has disconnected.
+
+        A stream continues, since its reader may still resume it for a while, and so does a
+        non-idempotent run that may have started. An unknown request gets a tombstone.
+        """
         run = self.runs.get(cancel.request_id)
         if run is None:
             stamp = self.tombstones.stamp(boot_time_s())
-            self.tombstones.ask(_try_id(cancel), stamp, 0.0, boot_time_s())
+            self.tombstones.ask(_attempt_id(cancel), stamp, 0.0, boot_time_s())
             return
         is_over = run.ended_s is not None or run.envelope.account != cancel.account
         if not is_over and run.may_be_cut and not run.envelope.streamed:
             run.scope.cancel()
 
     def name(self, run: Run) -> StreamName:
-        """Return the name of a run's stream."""
+        """Return the name of the stream of a run."""
         return StreamName(self._file.endpoint_id, self._incarnation, run.envelope.request_id)
 
     def _tick(self) -> None:
@@ -250,8 +270,8 @@
                 run.refusal = decision.refusal
             run.decided.set()
 
-    async def _keep(self) -> None:
-        """Send heartbeats on quiet streams; end and forget runs that nobody reads any more."""
+    async def _beat_and_expire(self) -> None:
+        """Send heartbeats on idle streams, and cancel or remove runs without readers."""
         while True:
             await anyio.sleep(self.service.heartbeat_s)
             for run in self.runs:
@@ -276,20 +296,20 @@
             self._timeline.add("ended", request_id)
             self.admission.finish(request_id)
             self._ledger.close(run, started)
-            self._note_prefix(run.envelope, run.ran)
+            self._record_prefix(run.envelope, run.ran)
             run.end(time.monotonic())
             self._tick()
 
-    def _note_prefix(self, envelope: Envelope, ran: Ran) -> None:
-        """Remember by which name the engine knows a chat that it has cached now."""
+    def _record_prefix(self, envelope: Envelope, ran: Ran) -> None:
+        """Record the chat id under which the engine has cached a chat's prefix."""
         if envelope.chat_key is not None and envelope.chat_id and ran is Ran.YES:
             tokens = envelope.prompt_tokens + envelope.output_tokens
             now_s = time.monotonic()
             self.prefixes.put(Prefix(envelope.chat_key, envelope.chat_id, tokens, now_s))
 
 
-def _try_id(message: Envelope | Attach | Cancel) -> str:
-    """Name one try; a tombstone stops that one, not those that follow."""
+def _attempt_id(message: Envelope | Attach | Cancel) -> str:
+    """Return the id of one attempt; a tombstone stops that attempt and no later ones."""
     return f"{message.request_id}/{message.attempt}"
 
 
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -1,8 +1,8 @@
-"""Writing a run's answer to the connection that reads it now.
+"""Writing the answer of a run to the connections that read it.
 
-The run lives in a task of its own and only fills its log; a reader copies from the log. So a
-reader may break off or hang for good without touching the run, and another one goes on where it
-stopped.
+A run has a task of its own that only appends to its frame log, and readers copy from this log. So
+a reader may disconnect or hang without any effect on the run, and another reader may continue at
+the same position.
 """
 
 import time
@@ -22,13 +22,13 @@
 
 @attrs.frozen
 class Place:
-    """Who reads a run, and from where on.
+    """Who reads a run, and from which position.
 
     Attributes:
-        request_id: The reader's own request; it has one connection at a time.
-        after: Sequence of the last frame that the reader has.
-        pending_s: Time after which it is told to ask again when there is nothing to read.
-        alone: Whether all other connections to the run are given up.
+        request_id: The reader's own request, which has only one connection at a time.
+        after: Sequence number of the last frame that the reader has.
+        pending_s: Time in seconds after which a reader with no data is told to ask again.
+        alone: Whether all other connections to the run are closed.
     """
 
     request_id: str
@@ -40,27 +40,29 @@
 async def serve_reader(
     run: Run, name: StreamName, place: Place, receive: Receive, writer: Writer
 ) -> None:
-    """Write the answer from a sequence on, until it ends or the connection does.
+    """Write the answer from a position on until it ends or the reader disconnects.
 
     Args:
         run: The run to read.
         name: Name of the run's stream.
-        place: Who reads, and from where on.
-        receive: Tells when the connection has ended.
-        writer: Where the answer goes.
+        place: The reader and its position.
+        receive: ASGI receive channel, which signals a disconnect.
+        writer: Writes to the connection.
     """
     async with anyio.create_task_group() as group:
         reader = Reader(place.request_id, group.cancel_scope)
         run.take_reader(reader, place.alone)
         try:
             group.start_soon(wait_disconnect, receive, group.cancel_scope)
-            await _write(run, reader, name, place, writer)
+            await _write_answer(run, reader, name, place, writer)
         finally:
             run.drop_reader(reader, time.monotonic())
         group.cancel_scope.cancel()
 
 
-async def _write(run: Run, reader: Reader, name: StreamName, place: Place, writer: Writer) -> None:
+async def _write_answer(
+    run: Run, reader: Reader, name: StreamName, place: Place, writer: Writer
+) -> None:
     with anyio.move_on_after(place.pending_s):
         while not run.readable:
             await run.changed.wait()
@@ -69,9 +71,9 @@
     elif run.answer is not None:
         await writer.answer(run.answer)
     elif not run.streaming:
-        await writer.refuse(_ending(run), place.request_id)
+        await writer.refuse(_end_refusal(run), place.request_id)
     elif not run.log.reaches(place.after):
-        await writer.refuse(_too_late(place.after), place.request_id)
+        await writer.refuse(_dropped_frames_refusal(place.after), place.request_id)
     else:
         await writer.open_stream(name)
         await _write_stream(run, reader, place.after, writer)
@@ -94,22 +96,22 @@
             continue
         reader.quiet = reader.beat = False
         await send({"type": "http.response.body", "body": data, "more_body": True})
-    ending = _ending(run) if log.reaches(after) else _too_late(after)
-    whole = run.complete and after == log.last
-    tail = b"" if whole else error_event(refusal_body(ending, reader.request_id))
-    await send({"type": "http.response.body", "body": tail})
+    refusal = _end_refusal(run) if log.reaches(after) else _dropped_frames_refusal(after)
+    is_complete = run.complete and after == log.last
+    last_event = b"" if is_complete else error_event(refusal_body(refusal, reader.request_id))
+    await send({"type": "http.response.body", "body": last_event})
 
 
-def _too_late(after: int) -> Refusal:
+def _dropped_frames_refusal(after: int) -> Refusal:
     message = f"expected a sequence whose followers are still kept, got {after}; ask anew"
     return Refusal(RefusalCode.INCOMPLETE, message, Ran.YES)
 
 
-def _ending(run: Run) -> Refusal:
+def _end_refusal(run: Run) -> Refusal:
     if run.refusal is not None:
         return run.refusal
-    return Refusal(RefusalCode.CANCELLED, "the run was cancelled; ask anew", _proof(run))
+    return Refusal(RefusalCode.CANCELLED, "the run was cancelled; ask anew", _proven_outcome(run))
 
 
-def _proof(run: Run) -> Ran:
+def _proven_outcome(run: Run) -> Ran:
     return Ran.YES if run.streaming else run.ran
--- a/src/beryljunction/sidecar/runs.py
+++ b/src/beryljunction/sidecar/runs.py
@@ -1,4 +1,4 @@
-"""Requests in flight at a sidecar, from admission until nobody can ask for their answer."""
+"""Requests at a sidecar, from admission until their answers expire."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -13,14 +13,14 @@
 
 __all__ = ["Reader", "Run", "RunTable", "Signal"]
 
-_KEPT_TOTAL_BYTES = 8_388_608
+_DEFAULT_KEPT_TOTAL_BYTES = 8_388_608
 
 
 class Signal:
-    """Wakes the one task that waits now, once a chunk.
+    """Reusable event for one waiting task, notified once per chunk.
 
-    anyio's events can't be cleared, and making one for each frame costs a tenth of the frame
-    (issue 3); the servers run on asyncio's loop in any case.
+    It wraps asyncio's event, since the servers always run on asyncio. anyio's events cannot be
+    cleared, and a new one for each frame takes a tenth of the time of the frame (issue 3).
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
 
 @attrs.define(eq=False)
 class Reader:
-    """A connection that reads a run now.
+    """A connection that currently reads a run.
 
     Attributes:
-        quiet: Nothing was written since the last look of the heartbeat ticker.
-        beat: A heartbeat is due.
+        quiet: Whether nothing was written since the last heartbeat check.
+        beat: Whether a heartbeat is due.
     """
 
     request_id: str
@@ -48,7 +48,7 @@
     beat: bool = False
 
     def beat_if_quiet(self, changed: Signal) -> None:
-        """Make a heartbeat due when nothing was written since the last call."""
+        """Request a heartbeat if nothing was written since the last call."""
         if self.quiet:
             self.beat = True
             changed.notify()
@@ -60,18 +60,18 @@
     """One request at this sidecar.
 
     Attributes:
-        ran: Whether the endpoint ran it, as far as this sidecar can prove.
+        ran: Whether the endpoint ran the request, as far as this sidecar can prove it.
         decided: Set when the request may start or was refused.
         scope: Cancelled to end the run.
-        changed: Notified when there is more to read.
-        given: Notified when a reader has taken frames.
+        changed: Notified when there is new data to read.
+        given: Notified when a reader has read frames.
         streaming: Whether the answer is a stream; frames are in ``log``.
         complete: Whether the stream ended cleanly.
-        serial: Serial of the ticket that it runs under; None for idempotent work.
-        joined: Ids of further requests that were led to this run.
-        refusal: How the run ended if it was refused, failed or was cut.
-        detached_s: Monotonic time since when nobody reads; None while somebody does.
-        ended_s: Monotonic time of the end; None before.
+        serial: Serial number of its ticket; None for idempotent requests.
+        joined: Ids of other requests that read this run.
+        refusal: Why the run was refused, failed or ended early; None if it did not.
+        detached_s: Monotonic time at which the last reader disconnected; None while there is one.
+        ended_s: Monotonic time at which the run ended; None before.
     """
 
     envelope: Envelope
@@ -94,29 +94,30 @@
 
     @property
     def readable(self) -> bool:
-        """Whether a reader can be told anything yet."""
+        """Whether there is anything to send to a reader yet."""
         return self.streaming or self.ended_s is not None
 
     @property
     def refused_unrun(self) -> bool:
-        """Whether the run waited and was refused; the entry may offer it here again."""
+        """Whether the run ended without having run; the entry may send the request here again."""
         return self.ended_s is not None and self.ran is Ran.NO
 
     @property
     def kept_bytes(self) -> int:
-        """Memory of the answer."""
+        """Size of the stored answer in memory."""
         return self.log.size_bytes + (len(self.answer.body) if self.answer is not None else 0)
 
     @property
     def may_be_cut(self) -> bool:
-        """Whether the run may be cancelled; a request that may not be repeated is run to its end.
+        """Whether the run may be cancelled.
 
-        Cancelling it would leave its caller with an effect but no answer, for good.
+        A non-idempotent request that may have started runs to its end. Cancelling it would leave
+        the caller with an effect whose answer is lost for good.
         """
         return self.envelope.idempotent or self.ran is Ran.NO
 
     async def add_frames(self, frames: list[bytes]) -> None:
-        """Keep frames for readers; waits while the reader lags by more than the bound."""
+        """Append frames to the log; wait while the reader lags by more than the log's bound."""
         self.streaming = True
         self.log.append(frames)
         self.changed.notify()
@@ -124,15 +125,15 @@
             await self.given.wait()
 
     def end(self, now_s: float) -> None:
-        """Mark the end; readers are told."""
+        """Mark the run as ended and notify its readers."""
         self.ended_s = now_s
         self.changed.notify()
 
     def take_reader(self, reader: Reader, alone: bool) -> None:
-        """Add a reader; it replaces the earlier connection of its request, or all if alone.
+        """Add a reader, which replaces earlier connections of the same request, or all if `alone`.
 
-        A connection that has gone silent does not end by itself for a quarter of an hour. Its
-        request comes back on a new one, and the old one must not count as a reader until then.
+        A dead connection may stay open for a quarter of an hour. When its request reconnects, the
+        old connection must not count as a reader for that time.
         """
         for other in tuple(self.readers):
             if alone or other.request_id == reader.request_id:
@@ -142,58 +143,58 @@
         self.detached_s = None
 
     def drop_reader(self, reader: Reader, now_s: float) -> None:
-        """Note that a connection ended; a reader that was replaced changes nothing."""
+        """Remove a reader whose connection ended; ignored if it was replaced before."""
         if reader in self.readers:
             self.readers.remove(reader)
             self.detached_s = None if self.readers else now_s
 
     def is_abandoned(self, now_s: float, resume_s: float) -> bool:
-        """Whether nobody has read for so long that the work should end."""
+        """Whether to cancel the run because it had no reader for longer than `resume_s`."""
         if self.ended_s is not None or self.detached_s is None or not self.may_be_cut:
             return False
         return now_s - self.detached_s > resume_s
 
 
 class RunTable:
-    """Runs by request id; a retry that joins a run finds it under its own id too.
+    """Runs by request id; a run is also found by the ids of retries that joined it.
 
     Attributes:
-        kept_total_bytes: Memory for the answers of runs that ended.
+        kept_total_bytes: Maximum memory for the answers of ended runs.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, Run] = {}
-        self.kept_total_bytes = _KEPT_TOTAL_BYTES
+        self.kept_total_bytes = _DEFAULT_KEPT_TOTAL_BYTES
 
     def __len__(self) -> int:
-        return len(self._all())
+        return len(self._unique_runs())
 
     def __iter__(self) -> Iterator[Run]:
-        return iter(self._all())
+        return iter(self._unique_runs())
 
     def get(self, request_id: str) -> Run | None:
-        """Return the run, or None when it is not known here (any more)."""
+        """Return the run, or None if it is unknown or has been removed."""
         return self._runs.get(request_id)
 
     def add(self, run: Run) -> None:
-        """Insert a run."""
+        """Add a run under the id of its own request."""
         self._runs[run.envelope.request_id] = run
 
     def join(self, run: Run, request_id: str) -> None:
-        """Make a run known under the id of a request that joins it."""
+        """Add a run under the id of another request that joins it."""
         self._runs[request_id] = run
         run.joined.append(request_id)
 
     def remove(self, run: Run) -> None:
-        """Forget a run."""
+        """Remove a run under all its ids."""
         for request_id in (run.envelope.request_id, *run.joined):
             self._runs.pop(request_id, None)
 
     def expire(self, now_s: float, resume_s: Callable[[Run], float]) -> list[Run]:
-        """Forget ended runs whose time for a resume is over, and the oldest above the bound.
+        """Remove ended runs that can no longer be resumed, and the oldest ones above the bound.
 
         Returns:
-            Runs without a reader for so long that they should be cancelled.
+            Abandoned runs, which should be cancelled.
         """
         ended = sorted(
             (run for run in self if run.ended_s is not None and not run.readers),
@@ -207,5 +208,5 @@
                 self.remove(run)
         return [run for run in self if run.is_abandoned(now_s, resume_s(run))]
 
-    def _all(self) -> list[Run]:
+    def _unique_runs(self) -> list[Run]:
         return [run for key, run in self._runs.items() if key == run.envelope.request_id]
--- a/src/beryljunction/sidecar/writers.py
+++ b/src/beryljunction/sidecar/writers.py
@@ -1,4 +1,4 @@
-"""Answers of a sidecar: each says what it is and which incarnation speaks."""
+"""HTTP answers of a sidecar; their headers name the kind of answer and the incarnation."""
 
 import attrs
 
@@ -11,9 +11,9 @@
 
 __all__ = ["Writer"]
 
-_REFUSAL_STATUS = 503
+_DEFAULT_REFUSAL_STATUS = 503
 _PENDING_STATUS = 202
-_STATUS = {
+_REFUSAL_STATUSES = {
     RefusalCode.BAD_REQUEST: 400,
     RefusalCode.UNAUTHENTICATED: 401,
     RefusalCode.NOT_FOUND: 404,
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class Writer:
-    """Writes one answer.
+    """Writes one HTTP answer.
 
     Attributes:
-        send: Where the answer goes; frames of an open stream are written to it directly.
-        stamp: This sidecar's name and time; entries copy it onto what they send.
+        send: ASGI send channel; frames of an open stream are written to it directly.
+        stamp: Id and time of this sidecar, which entries copy into their requests.
     """
 
     send: Send
@@ -38,41 +38,43 @@
 
     async def refuse(self, refusal: Refusal, request_id: str) -> None:
         """Answer with a refusal."""
-        status = _STATUS.get(refusal.code, _REFUSAL_STATUS)
-        await self._whole(status, Outcome.REFUSAL, [_JSON], refusal_body(refusal, request_id))
+        status = _REFUSAL_STATUSES.get(refusal.code, _DEFAULT_REFUSAL_STATUS)
+        await self._write_response(
+            status, Outcome.REFUSAL, [_JSON], refusal_body(refusal, request_id)
+        )
 
     async def pending(self) -> None:
         """Tell the reader to ask again."""
-        await self._whole(_PENDING_STATUS, Outcome.PENDING, [], b"")
+        await self._write_response(_PENDING_STATUS, Outcome.PENDING, [], b"")
 
     async def done(self, body: bytes = b"{}") -> None:
-        """Answer a control message."""
-        await self._whole(200, Outcome.DONE, [_JSON], body)
+        """Answer a control request."""
+        await self._write_response(200, Outcome.DONE, [_JSON], body)
 
     async def answer(self, answer: Answer) -> None:
-        """Pass on an endpoint's own answer."""
-        kept = [(key, value) for key, value in answer.headers if key != b"content-length"]
-        await self._whole(answer.status, Outcome.ANSWER, kept, answer.body)
+        """Forward the answer of the endpoint."""
+        headers = [(key, value) for key, value in answer.headers if key != b"content-length"]
+        await self._write_response(answer.status, Outcome.ANSWER, headers, answer.body)
 
     async def open_stream(self, name: StreamName) -> None:
-        """Write the head of a stream."""
+        """Write the response head of an event stream."""
         headers = [*_EVENT_STREAM, (STREAM_HEADER, str(name).encode())]
-        await self._head(200, Outcome.STREAM, headers)
+        await self._write_head(200, Outcome.STREAM, headers)
 
-    async def _whole(
+    async def _write_response(
         self, status: int, outcome: Outcome, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        await self._head(status, outcome, [*headers, (b"content-length", b"%d" % len(body))])
+        await self._write_head(status, outcome, [*headers, (b"content-length", b"%d" % len(body))])
         await self.send({"type": "http.response.body", "body": body})
 
-    async def _head(
+    async def _write_head(
         self, status: int, outcome: Outcome, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        own = [
+        common = [
             (OUTCOME_HEADER, outcome.encode()),
             (STAMP_HEADER, self.stamp.to_text().encode()),
             (HLC_HEADER, self.clock.stamp()),
         ]
         await self.send(
-            {"type": "http.response.start", "status": status, "headers": [*own, *headers]}
+            {"type": "http.response.start", "status": status, "headers": [*common, *headers]}
         )
