--- a/src/beryljunction/sidecar/handover.py
+++ b/src/beryljunction/sidecar/handover.py
@@ -1,4 +1,7 @@
-"""Chat pointers that a leaving sidecar gives to those that are asked next."""
+"""Transfer of chat pointers from a leaving sidecar to the sidecars that get these chats next.
+
+A chat pointer tells which endpoint holds the cached prefix of a chat.
+"""
 
 import anyio
 import httpcore
@@ -9,34 +12,34 @@
 
 __all__ = ["hand_pointers_over", "heirs_of"]
 
-# The newest pointers first: at the target a sidecar holds some 12,600, and a chat that has not come
-# back for long is the least likely to come back now. 4,096 rows are some 300 KB, once in a stop.
-_MOST_POINTERS = 4096
+# At the target fleet size a sidecar holds some 12,600 pointers. The newest are sent, since a chat
+# that has been idle for long is the least likely to return. 4,096 rows are some 300 KB per stop.
+_MAX_POINTERS = 4096
 _BATCH_ROWS = 512
-_SEND_S = 3.0
+_SEND_TIMEOUT_S = 3.0
 
 
 def heirs_of(
     pointers: PointerSystem, members: EndpointTable, service: str, now_s: float
 ) -> list[tuple[Endpoint, list[ChatMoved]]]:
-    """Return which endpoint is asked next for each chat, and the pointers that it should have.
+    """Return the next endpoint of each chat of a leaving endpoint, with the pointers to send it.
 
-    Load: all chats whose home leaves come back to their next home, within minutes. Harm: those
-    that lie elsewhere would be started cold there. Pointers to the leaving endpoint itself are
-    left out, its cache goes with it.
+    All these chats go to their next endpoint within minutes. Without a pointer it would start a
+    chat cold that is cached at a third endpoint. Pointers to the leaving endpoint itself are left
+    out, since its cache is lost.
     """
     own = members.get(pointers.endpoint_id)
     placement = PlacementSystem(members, region=own.region if own is not None else "")
-    heirs: dict[str, tuple[Endpoint, list[ChatMoved]]] = {}
-    for row in pointers.hand_over(_MOST_POINTERS):
+    by_successor: dict[str, tuple[Endpoint, list[ChatMoved]]] = {}
+    for row in pointers.hand_over(_MAX_POINTERS):
         if row.endpoint_id == pointers.endpoint_id or members.get(row.endpoint_id) is None:
             continue
         query = PlacementQuery(service, row.chat_key)
-        heir = successor_of(placement, query, pointers.endpoint_id, now_s)
-        if heir is not None:
+        successor = successor_of(placement, query, pointers.endpoint_id, now_s)
+        if successor is not None:
             moved = ChatMoved(row.chat_key, row.endpoint_id, row.tokens)
-            heirs.setdefault(heir.endpoint_id, (heir, []))[1].append(moved)
-    return list(heirs.values())
+            by_successor.setdefault(successor.endpoint_id, (successor, []))[1].append(moved)
+    return list(by_successor.values())
 
 
 async def hand_pointers_over(
@@ -44,15 +47,18 @@
     fleet_key: bytes,
     heirs: list[tuple[Endpoint, list[ChatMoved]]],
 ) -> None:
-    """Send each heir its pointers; one that does not answer costs warm caches, not the stop."""
-    for heir, rows in heirs:
+    """Send each endpoint its pointers.
+
+    If one does not answer, its chats may start with a cold cache, but the stop continues.
+    """
+    for successor, rows in heirs:
         for start in range(0, len(rows), _BATCH_ROWS):
             batch = PointerList(tuple(rows[start : start + _BATCH_ROWS]))
-            with anyio.move_on_after(_SEND_S):
+            with anyio.move_on_after(_SEND_TIMEOUT_S):
                 try:
                     await pool.request(
                         "POST",
-                        f"http://{heir.address}{POINTERS_PATH}",
+                        f"http://{successor.address}{POINTERS_PATH}",
                         headers=[(FLEET_KEY_HEADER, fleet_key)],
                         content=encode(batch),
                     )
--- a/src/beryljunction/sidecar/keys.py
+++ b/src/beryljunction/sidecar/keys.py
@@ -1,4 +1,4 @@
-"""Claims on idempotency keys: appends them to the platform's log and reads who was first."""
+"""Claims of idempotency keys, which are ordered by their position in the platform's log."""
 
 import anyio
 import anyio.abc
@@ -18,18 +18,18 @@
 
 __all__ = ["KeyClaims"]
 
-# A stream is followed while claims wait and a little longer, so that a burst reads it once.
-_LINGER_S = 2.0
-_READ_WAIT_S = 0.2
-_RETRY_S = 0.1
-_NO_LOG_S = 60.0
-# Half of it is the life of a key. A shorter life would end while a first try may still wait for its
-# start (30 s unless set otherwise), and the caller's retry would run beside it.
-_LEAST_RETENTION_S = 120.0
+# A stream is followed for this long after the last claim, so that a burst of claims reads it once.
+_FOLLOW_IDLE_S = 2.0
+_READ_POLL_S = 0.2
+_READ_RETRY_S = 0.1
+_NO_LOG_RETRY_AFTER_S = 60.0
+# A key lives for half the retention. With a shorter life a key could expire while its first attempt
+# still waits for its start (30 s by default), and a retry of the caller would run as well.
+_MIN_RETENTION_S = 120.0
 
 
-class _Stream:
-    """One shard's claims at this process."""
+class _ClaimStream:
+    """The claims of this process in the log stream of one shard."""
 
     def __init__(self, log: LogClient, shard: int, incarnation: str, limits: ClaimLimits) -> None:
         self._log = log
@@ -41,7 +41,7 @@
         self.following = False
 
     async def settle(self, request_id: str, claim: KeyClaim) -> KeyVerdict:
-        """Return what the log's order says of a claim."""
+        """Return the verdict on a claim once its position in the log is known."""
         self._last_used_s = boot_time_s()
         verdict = self._system.submit(request_id, claim, self._last_used_s)
         if verdict is not None:
@@ -55,15 +55,15 @@
             self._verdicts.pop(request_id, None)
 
     async def follow(self) -> None:
-        """Append and read until nothing has been claimed for a while."""
-        while self._waiting or boot_time_s() - self._last_used_s < _LINGER_S:
+        """Append and read claims until none has been made for `_FOLLOW_IDLE_S`."""
+        while self._waiting or boot_time_s() - self._last_used_s < _FOLLOW_IDLE_S:
             async with anyio.create_task_group() as group:
                 batch = self._system.next_batch(boot_time_s())
                 if batch is not None:
                     group.start_soon(self._append, batch)
                 await self._read()
             for request_id, verdict in self._system.tick(boot_time_s()):
-                self._tell(request_id, verdict)
+                self._resolve(request_id, verdict)
         self.following = False
 
     async def _append(self, batch: ClaimBatch) -> None:
@@ -72,15 +72,15 @@
 
     async def _read(self) -> None:
         after = self._system.next_offset - 1 if self._system.next_offset else 0
-        page = await self._log.read(self._name, after, wait_s=_READ_WAIT_S)
+        page = await self._log.read(self._name, after, wait_s=_READ_POLL_S)
         if not isinstance(page, LogPage):
             self._system.log_failed(boot_time_s())
-            await anyio.sleep(_RETRY_S)
+            await anyio.sleep(_READ_RETRY_S)
             return
         for record in page.records:
             self._system.apply(record.offset, record.data, boot_time_s())
 
-    def _tell(self, request_id: str, verdict: KeyVerdict) -> None:
+    def _resolve(self, request_id: str, verdict: KeyVerdict) -> None:
         event = self._waiting.get(request_id)
         if event is not None:
             self._verdicts[request_id] = verdict
@@ -88,45 +88,45 @@
 
 
 class KeyClaims:
-    """Settles claims of any shard; streams are opened when a claim needs them.
+    """Settles claims of any shard; a stream is opened with the first claim that needs it.
 
     Args:
-        log: The platform's log; None when the process has none, and then no key can be settled.
-        incarnation: Makes the ids of this process's batches its own.
+        log: The platform's log. Without one, no key can be settled.
+        incarnation: Unique id of this process start, which makes its batch ids unique.
         retention_s: How long the log keeps records.
 
     Raises:
-        SettingsError: When the log keeps records for too short a time to remember keys by.
+        SettingsError: If the retention is too short for the life of a key.
     """
 
     def __init__(self, log: LogClient | None, incarnation: str, retention_s: float) -> None:
-        if retention_s < _LEAST_RETENTION_S:
+        if retention_s < _MIN_RETENTION_S:
             problem = (
-                f"process.log_retention_s: expected at least {_LEAST_RETENTION_S:g} seconds, "
+                f"process.log_retention_s: expected at least {_MIN_RETENTION_S:g} seconds, "
                 f"got {retention_s:g}"
             )
             raise SettingsError([problem])
         self._limits = ClaimLimits.within(retention_s)
         self._log = log
         self._incarnation = incarnation
-        self._streams: dict[int, _Stream] = {}
+        self._streams: dict[int, _ClaimStream] = {}
 
     async def settle(
         self, group: anyio.abc.TaskGroup, shard: int, request_id: str, claim: KeyClaim
     ) -> KeyVerdict:
-        """Return what the log's order says of a claim.
+        """Return the verdict on a claim once its position in the log is known.
 
         Args:
-            group: Where the stream is followed; it outlives the request.
+            group: Runs the task that follows the stream; it must outlive the request.
             shard: Number of the key's stream.
-            request_id: Names the claim until it is settled.
+            request_id: Identifies the claim until it is settled.
             claim: The claim.
         """
         if self._log is None:
-            return KeyUnavailable(_NO_LOG_S)
+            return KeyUnavailable(_NO_LOG_RETRY_AFTER_S)
         stream = self._streams.get(shard)
         if stream is None:
-            stream = self._streams[shard] = _Stream(
+            stream = self._streams[shard] = _ClaimStream(
                 self._log, shard, self._incarnation, self._limits
             )
         if not stream.following:
--- a/src/beryljunction/sidecar/kv.py
+++ b/src/beryljunction/sidecar/kv.py
@@ -1,4 +1,4 @@
-"""Cached state of chats as an engine exports and imports it."""
+"""Client for the export and import of cached chat prefixes (KV cache) at an engine."""
 
 import json
 
@@ -9,19 +9,19 @@
 
 _EXPORT_PATH = "/v1/kv/export"
 _IMPORT_PATH = "/v1/kv/import"
-# What a sidecar carries is the engine's description of the state; the state itself, some 100 KB a
-# token, goes from engine to engine. An engine that sent it here would fill the 64 MB at once.
-_DESCRIPTION_BYTES = 65_536
-_BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+# Sidecars transfer only the engine's description of the cached state. The state itself, some 100 KB
+# per token, goes from engine to engine; sent here it would soon use up the sidecar's 64 MB.
+_MAX_DESCRIPTION_BYTES = 65_536
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 _JSON = [(b"content-type", b"application/json")]
 
 
 @attrs.frozen
 class KvExport:
-    """An exported prefix.
+    """A prefix that an engine has exported.
 
     Attributes:
-        description: What the importing engine is to be given, as it came.
+        description: The engine's answer, which is passed unchanged to the importing engine.
     """
 
     tokens: int
@@ -29,7 +29,9 @@
 
 
 class KvClient:
-    """Asks one engine to export and import prefixes; a failure is None and costs a prefill.
+    """Makes one engine export and import prefixes.
+
+    Failures return None; the chat then only needs a new prefill.
 
     Args:
         address: Base URL of the engine.
@@ -40,17 +42,17 @@
         self._address = address
 
     async def export(self, chat_id: str) -> KvExport | None:
-        """Return the cached prefix of a chat; one of no tokens when there is none."""
+        """Export the cached prefix of a chat; its `tokens` is 0 if the engine has none."""
         answer = await self._post(_EXPORT_PATH, json.dumps({"chat": chat_id}).encode())
         tokens = _tokens_of(answer)
         return None if tokens is None else KvExport(tokens, answer.decode())
 
     async def take(self, description: str) -> int | None:
-        """Import a prefix and return its length here."""
+        """Import a prefix and return its length in tokens."""
         return _tokens_of(await self._post(_IMPORT_PATH, description.encode()))
 
     async def _post(self, path: str, body: bytes) -> bytes:
-        """Return a good answer's body, empty when there is none."""
+        """Return the body of a 200 answer, or no bytes after a failure."""
         data = b""
         try:
             async with self._pool.stream(
@@ -58,18 +60,18 @@
             ) as response:
                 async for chunk in response.aiter_stream():
                     data += chunk
-                    if len(data) > _DESCRIPTION_BYTES:
+                    if len(data) > _MAX_DESCRIPTION_BYTES:
                         return b""
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             return b""
         return data if response.status == 200 else b""
 
 
 def _tokens_of(answer: bytes) -> int | None:
-    """Return the length that an engine names; None when the answer can't be read.
+    """Return the number of tokens in an engine's answer; None if the answer is invalid.
 
-    Whatever an engine answers must not end the sidecar, which has other answers in flight: text
-    that is not UTF-8, arrays too deep for the parser, numbers that are none.
+    No answer may crash the sidecar, which has other answers in flight. So this also handles text
+    that is not UTF-8, arrays nested too deeply for the parser and values that are not numbers.
     """
     try:
         tokens = json.loads(answer.decode())["tokens"]
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -1,4 +1,4 @@
-"""Runs under tickets: each ticket runs at most once, whatever its callers and the network do."""
+"""Runs under tickets: each ticket runs at most once, even after retries and network failures."""
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
@@ -13,18 +13,19 @@
 
 
 class RunLedger:
-    """Keeps the ticket ledger in step with the runs of this sidecar.
+    """Updates the ticket ledger as the runs of this sidecar start and end.
 
-    A run claims its ticket before it is admitted, starts it just before the first byte goes to the
-    endpoint, and closes it with its answer or failure. Work that does not start burns its ticket,
-    and its refusal names the one successor under which it may go on elsewhere.
+    A run claims its ticket before it is admitted, marks it as started just before the first byte
+    is sent to the endpoint, and closes it with the answer or failure. The ticket of a run that
+    does not start is invalidated ("burned"). The refusal then names its successor, the only ticket
+    under which the request may be sent to another endpoint.
     """
 
     def __init__(self, ledger: TicketLedger) -> None:
         self._ledger = ledger
 
     def claim(self, envelope: Envelope, body: bytes) -> Claim:
-        """Ask the ledger about a request that has just arrived."""
+        """Claim the ticket of a request that has just arrived."""
         ask = Ask(
             envelope.account,
             body_digest(envelope.method.encode(), envelope.path.encode(), body),
@@ -32,17 +33,17 @@
             envelope.wait_s,
             Stamp.from_text(envelope.heard),
             envelope.heard_age_s,
-            _candidates(envelope),
+            _candidate_stamps(envelope),
         )
         return self._ledger.claim(envelope.ticket or "", ask, boot_time_s())
 
     def burn(self, serial: str, envelope: Envelope, refusal: Refusal) -> Refusal:
-        """Give up a ticket that has not started; returns the refusal with its successor."""
-        burned = self._ledger.burn(serial, envelope.account, _candidates(envelope))
+        """Burn a ticket that has not started; return the refusal with its successor."""
+        burned = self._ledger.burn(serial, envelope.account, _candidate_stamps(envelope))
         return Refusal(
             refusal.code,
             refusal.message,
-            # Another try may have followed a successor that was named before this step.
+            # A successor that was named earlier may already have been used by another attempt.
             Ran.NO if burned.fresh or burned.successor is None else Ran.UNKNOWN,
             refusal.retry_after_s,
             successor=burned.successor,
@@ -50,7 +51,7 @@
         )
 
     def start(self, run: Run) -> bool:
-        """Mark a run's ticket as running; False when it is too late for a start."""
+        """Mark the ticket of a run as running; return False if its deadline has passed."""
         if run.serial is None or self._ledger.start(run.serial, boot_time_s()):
             return True
         message = "its caller has been told that the outcome is unknown; it will not run"
@@ -58,7 +59,7 @@
         return False
 
     def close(self, run: Run, started: bool) -> None:
-        """Remember how a run ended; one that proved not to have run goes on elsewhere."""
+        """Record how a run ended; the ticket of a run that provably did not run is burned."""
         if run.serial is None:
             return
         if not started:
@@ -69,9 +70,9 @@
         elif run.complete:
             self._ledger.finish(run.serial, _stream_answer(run))
         else:
-            self._fail(run, run.serial)
+            self._record_failure(run, run.serial)
 
-    def _fail(self, run: Run, serial: str) -> None:
+    def _record_failure(self, run: Run, serial: str) -> None:
         message = "the run ended without an answer"
         refusal = run.refusal or Refusal(RefusalCode.ENDPOINT_FAILED, message, run.ran)
         self._ledger.fail(serial, refusal)
@@ -79,13 +80,13 @@
             run.refusal = self.burn(serial, run.envelope, refusal)
 
 
-def _candidates(envelope: Envelope) -> tuple[Stamp, ...]:
+def _candidate_stamps(envelope: Envelope) -> tuple[Stamp, ...]:
     stamps = (Stamp.from_text(text) for text in envelope.candidates)
     return tuple(stamp for stamp in stamps if stamp is not None)
 
 
 def _stream_answer(run: Run) -> Answer | None:
-    """Return a stream as one answer for retries; None when its head is not kept any more."""
+    """Return a stream as one answer for retries; None if its first frames were dropped."""
     if not run.log.reaches(0):
         return None
     return Answer(200, _STREAM_HEADERS, run.log.after(0))
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -1,8 +1,8 @@
-"""Exchange of load between the sidecars of one service, with one peer at a time.
+"""Gossip of load rows between the sidecars of one service, with one peer at a time.
 
-A message carries the sender's own row and as many of others as the budget allows, and the version
-of the settings that the sender has. The answer carries only a version: rows both ways would double
-the bytes, and each sidecar is asked as often as it asks.
+A message contains the sender's own row, as many rows of others as the byte budget allows, and the
+sender's settings version. The answer contains only a version: rows in both directions would double
+the traffic, and each sidecar receives as many messages as it sends.
 """
 
 import random
@@ -21,17 +21,18 @@
 __all__ = ["PeerExchange"]
 
 _VERSION_HEADER = b"beryl-settings-version"
-_ANSWER_S = 1.0
-_BODY_BYTES = 16_384
+_EXCHANGE_TIMEOUT_S = 1.0
+_MAX_BODY_BYTES = 16_384
 
 
 class PeerExchange:
-    """Tells peers of the load here and takes in theirs.
+    """Sends load rows to peers and merges the rows received from them.
 
     Args:
-        load: Rows to send and where heard rows go; it also sets the pace.
-        settings_version: Version of the settings in force here.
-        on_newer: Told of a peer's endpoint id that has newer settings, with their version.
+        load: Provides the rows to send, merges received rows and sets the interval.
+        settings_version: Returns the version of the settings that are applied here.
+        on_newer: Called with the endpoint id and settings version of a peer that has newer
+            settings.
     """
 
     def __init__(
@@ -57,17 +58,18 @@
     def set_peers(self, addresses: Mapping[str, str]) -> None:
         """Set the other endpoints of the service, by id, with the addresses of their sidecars.
 
-        Load: an endpoint is taken off the list. Harm: its last row, often a low one, would pull
-        the mean down and with it the bound of those that stay, until the row is stale.
+        The rows of removed endpoints are ignored at once. The last row of such an endpoint often
+        shows a low load, which would lower the mean, and with it the load bound of the remaining
+        endpoints, until the row expires.
         """
-        for gone in self._addresses.keys() - addresses.keys():
-            self._load.silence(gone)
+        for removed in self._addresses.keys() - addresses.keys():
+            self._load.silence(removed)
         self._addresses = dict(addresses)
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
-        """Exchange with one peer after the other until cancelled.
+        """Send rows to one peer after the other until cancelled.
 
-        The jitter keeps sidecars that started together from sending in step.
+        The jitter prevents sidecars that started together from sending at the same time.
         """
         task_status.started()
         while True:
@@ -77,26 +79,28 @@
                 await self.tell(peer)
 
     async def tell(self, endpoint_id: str) -> None:
-        """Send rows to one peer; one that does not answer counts no more until it is heard of."""
+        """Send rows to one peer; without an answer, the peer's row is ignored until a new one."""
         body = encode_rows(self._load.rows_to_send(self._now_s()))
         try:
             response = await self._pool.request(
                 "POST",
                 f"http://{self._addresses[endpoint_id]}{PEERS_PATH}",
-                headers=[self._key, self._version()],
+                headers=[self._key, self._version_header()],
                 content=body,
                 extensions={
-                    "timeout": dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_S)
+                    "timeout": dict.fromkeys(
+                        ("connect", "read", "write", "pool"), _EXCHANGE_TIMEOUT_S
+                    )
                 },
             )
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
             self._load.silence(endpoint_id)
             return
-        self._note_version(endpoint_id, dict(response.headers))
+        self._check_peer_version(endpoint_id, dict(response.headers))
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer a peer's message; its key has been checked."""
-        body = await read_body(receive, _BODY_BYTES)
+        """Answer a message from a peer; its fleet key has been checked."""
+        body = await read_body(receive, _MAX_BODY_BYTES)
         try:
             rows = decode_rows(body or b"")
         except ValueError as error:
@@ -104,14 +108,16 @@
             return
         self._load.merge(rows, self._now_s())
         if rows:
-            self._note_version(rows[0].endpoint_id, dict(scope["headers"]))
-        await send({"type": "http.response.start", "status": 204, "headers": [self._version()]})
+            self._check_peer_version(rows[0].endpoint_id, dict(scope["headers"]))
+        await send(
+            {"type": "http.response.start", "status": 204, "headers": [self._version_header()]}
+        )
         await send({"type": "http.response.body"})
 
-    def _version(self) -> tuple[bytes, bytes]:
+    def _version_header(self) -> tuple[bytes, bytes]:
         return _VERSION_HEADER, b"%d" % self._settings_version()
 
-    def _note_version(self, endpoint_id: str, headers: Mapping[bytes, bytes]) -> None:
+    def _check_peer_version(self, endpoint_id: str, headers: Mapping[bytes, bytes]) -> None:
         version = headers.get(_VERSION_HEADER, b"0")
         if version.isdigit() and int(version) > self._settings_version():
             self._on_newer(endpoint_id, int(version))
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -1,4 +1,4 @@
-"""Cached prefixes on their way from a leaving sidecar to those that are asked next."""
+"""Transfer of cached prefixes from a leaving endpoint to the endpoints that get its chats next."""
 
 import collections
 import time
@@ -26,27 +26,27 @@
 
 __all__ = ["PrefixHandover", "PrefixReceiver"]
 
-_LOOK_S = 0.05
-# Chats whose answers have ended since; a drained sidecar goes through its table this often.
-_AGAIN_S = 0.5
-# One at a time left most of the time to the round trips (some 15 prefixes of 6,000 tokens took
-# 1.2 s); many would hold up the answers that are still decoded here.
-_PARALLEL_TRANSFERS = 4
-_PARALLEL_IMPORTS = 2
-_BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+_LEAVING_POLL_S = 0.05
+# Interval at which a draining sidecar looks for chats whose answers have ended since the last pass.
+_PASS_INTERVAL_S = 0.5
+# With one transfer at a time most of the time is lost to round trips (some 15 prefixes of 6,000
+# tokens took 1.2 s). Many at once would slow down the answers that are still being decoded here.
+_MAX_PARALLEL_TRANSFERS = 4
+_MAX_PARALLEL_IMPORTS = 2
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 class PrefixHandover:
-    """Hands prefixes on while the endpoint leaves, a few at a time, beside the answers in flight.
+    """Transfers prefixes while the endpoint leaves, a few at a time, beside answers in flight.
 
-    It begins with the leaving and not with the end of the last answer: that may be minutes away,
-    and most chats return before. It waits while admitted requests wait for the engine.
+    The transfers start when the endpoint begins to leave. The last answer may end minutes later,
+    and most chats return before that. They pause while admitted requests wait for the engine.
 
     Args:
-        members: Returns the endpoints as this process knows them.
+        members: Returns the known endpoints.
 
     Attributes:
-        limit_s: Longest time that a stop is held up by it; none is handed on at 0.
+        limit_s: Maximum time that the handover delays a stop; 0 disables the handover.
     """
 
     def __init__(
@@ -72,21 +72,21 @@
         self._lock = anyio.Lock()
 
     async def run(self) -> None:
-        """Hand prefixes on whenever the endpoint leaves, until cancelled."""
+        """Transfer prefixes while the endpoint leaves, until cancelled."""
         while True:
             if self._admission.leaving:
-                await self._pass_on()
-                await anyio.sleep(_AGAIN_S)
+                await self._transfer_all()
+                await anyio.sleep(_PASS_INTERVAL_S)
             else:
                 self.system.reset()
-                await anyio.sleep(_LOOK_S)
+                await anyio.sleep(_LEAVING_POLL_S)
 
     async def finish(self) -> None:
-        """Hand on what is left now that nothing is in flight; a stop waits for it, not for long."""
+        """Transfer the rest before a stop, when nothing is in flight, for at most `limit_s`."""
         with anyio.move_on_after(self.limit_s):
-            await self._pass_on()
+            await self._transfer_all()
 
-    async def _pass_on(self) -> None:
+    async def _transfer_all(self) -> None:
         if self.limit_s <= 0.0:
             return
         async with self._lock:
@@ -95,17 +95,17 @@
             counts: collections.Counter[Handed] = collections.Counter()
             try:
                 async with anyio.create_task_group() as group:
-                    for _ in range(_PARALLEL_TRANSFERS):
-                        group.start_soon(self._work_off, plan, counts)
+                    for _ in range(_MAX_PARALLEL_TRANSFERS):
+                        group.start_soon(self._run_transfers, plan, counts)
             finally:
                 if counts:
                     detail = " ".join(f"{key}={count}" for key, count in sorted(counts.items()))
                     self._timeline.add("prefixes_handed_over", detail=detail)
 
-    async def _work_off(
+    async def _run_transfers(
         self, transfers: Iterator[Transfer], counts: collections.Counter[Handed]
     ) -> None:
-        """Make one transfer after the other, as one of several tasks with the same plan."""
+        """Run transfers one after the other; several tasks share the same plan."""
         for transfer in transfers:
             if not self._admission.leaving or self._admission.requests.waiting_count:
                 return
@@ -116,19 +116,19 @@
                 await anyio.lowlevel.checkpoint()
 
     async def _transfer(self, transfer: Transfer) -> Handed:
-        """Move one prefix within its limit; whatever fails costs its chat one cold prefill."""
-        handed = Handed.EXPORT_FAILED
+        """Transfer one prefix within its time limit; a failure costs its chat one cold prefill."""
+        result = Handed.EXPORT_FAILED
         self.system.started(transfer)
         with anyio.move_on_after(transfer.limit_s):
             exported = await self._kv.export(transfer.chat_id)
             if exported is not None and exported.tokens == 0:
-                handed = Handed.EVICTED
+                result = Handed.EVICTED
             elif exported is not None:
-                # From here on a transfer that takes too long is the successor's fault.
-                handed = Handed.SUCCESSOR_FAILED
-                handed = await self._offer(transfer, exported.description)
-        self.system.ended(transfer, handed)
-        return handed
+                # A timeout from here on counts as a failure of the successor.
+                result = Handed.SUCCESSOR_FAILED
+                result = await self._offer(transfer, exported.description)
+        self.system.ended(transfer, result)
+        return result
 
     async def _offer(self, transfer: Transfer, description: str) -> Handed:
         own_id = self._admission.pointers.endpoint_id
@@ -141,56 +141,57 @@
             )
             if dict(response.headers).get(OUTCOME_HEADER) != Outcome.DONE.encode():
                 return Handed.SUCCESSOR_FAILED
-            taken = decode(response.content, PrefixTaken)
-        except (*_BROKEN, ValueError):
+            answer = decode(response.content, PrefixTaken)
+        except (*_CONNECTION_ERRORS, ValueError):
             return Handed.SUCCESSOR_FAILED
-        return Handed.TAKEN if taken.tokens else Handed.DECLINED
+        return Handed.TAKEN if answer.tokens else Handed.DECLINED
 
 
 class PrefixReceiver:
-    """Takes prefixes of leaving endpoints into the engine here.
+    """Imports prefixes of leaving endpoints into the engine of this sidecar.
 
-    Only this sidecar remembers that the prefix is here, and only once its engine has it. If it
-    goes, the pointer goes with it, and nobody is left who would send the chat after it.
+    The pointer to an imported prefix is kept only in this sidecar, and set only after the import.
+    If this endpoint goes down, the pointer is lost with it, so that no chat is sent to a lost
+    prefix.
     """
 
     def __init__(self, admission: AdmissionSystem, prefixes: PrefixTable, kv: KvClient) -> None:
         self._admission = admission
         self._prefixes = prefixes
         self._kv = kv
-        # Several endpoints may leave at once; imports share the engine's memory with its answers.
-        self._limiter = anyio.CapacityLimiter(_PARALLEL_IMPORTS)
+        # Several endpoints may leave at once, and imports share the engine's memory with answers.
+        self._limiter = anyio.CapacityLimiter(_MAX_PARALLEL_IMPORTS)
 
     async def handle(self, call: Call) -> None:
-        """Answer the offer of a leaving sidecar."""
+        """Handle a prefix offer from a leaving sidecar."""
         offer = await call.message(PrefixOffer)
         if offer is None:
             return
-        refusal = self._refusal()
-        tokens = await self._take(offer) if refusal is None else None
+        refusal = self._check_available()
+        tokens = await self._import(offer) if refusal is None else None
         if tokens is not None:
             await call.writer.done(encode(PrefixTaken(tokens)))
             return
         failed = Refusal(RefusalCode.ENDPOINT_FAILED, "the engine did not import it", Ran.NO)
         await call.writer.refuse(refusal or failed, "")
 
-    def _refusal(self) -> Refusal | None:
+    def _check_available(self) -> Refusal | None:
         if self._admission.leaving:
             return Refusal(RefusalCode.LEAVING, "the endpoint is leaving", Ran.NO)
         if self._admission.paused:
             return Refusal(RefusalCode.OVERLOADED, self._admission.paused, Ran.NO)
         return None
 
-    async def _take(self, offer: PrefixOffer) -> int | None:
-        """Import; the length that is here now, 0 when it was declined, None when it failed."""
-        if not self._wants(offer):
+    async def _import(self, offer: PrefixOffer) -> int | None:
+        """Import a prefix; return its length in tokens, 0 if declined, None on failure."""
+        if not self._is_wanted(offer):
             return 0
         async with self._limiter:
             tokens = await self._kv.take(offer.description)
         if not tokens:
             return None
-        # The chat may have come back during the import, and its pointer be newer than this one.
-        if self._wants(offer):
+        # The chat may have returned during the import and have a newer pointer by now.
+        if self._is_wanted(offer):
             now_s = time.monotonic()
             pointers = self._admission.pointers
             pointers.placed(offer.chat_key, pointers.endpoint_id, tokens, now_s)
@@ -198,7 +199,7 @@
             self._prefixes.put(Prefix(offer.chat_key, offer.chat_id, tokens, used_s))
         return tokens
 
-    def _wants(self, offer: PrefixOffer) -> bool:
+    def _is_wanted(self, offer: PrefixOffer) -> bool:
         pointers = self._admission.pointers
-        row = pointers.look_up(offer.chat_key, time.monotonic())
-        return wants_prefix(row, pointers.endpoint_id, offer.sender_id)
+        pointer = pointers.look_up(offer.chat_key, time.monotonic())
+        return wants_prefix(pointer, pointers.endpoint_id, offer.sender_id)
