--- a/src/beryljunction/engines/__init__.py
+++ b/src/beryljunction/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Model engines and plain services as a sidecar meets them."""
+"""Control of the model engine of a sidecar: which models and adapters it loads, and when."""
 
 from beryljunction.engines.control import (
     EngineControl,
--- a/src/beryljunction/engines/control.py
+++ b/src/beryljunction/engines/control.py
@@ -1,22 +1,23 @@
-"""Orders from a sidecar to the engine beside it.
+"""Client for the control interface of an engine, which loads models and adapters.
 
-The engine's side, HTTP with JSON:
+The engine serves this interface over HTTP with JSON:
 
-``GET /v1/state`` answers 200 with what the engine holds::
+``GET /v1/state`` answers 200 with the state of the engine::
 
     {"models": {"drafter": "v3"}, "adapters": ["gu"], "role": "both",
      "loading": {"drafter": "v4"}, "loading_adapters": [], "fence": 17, "failed": ""}
 
-``fence`` is left out by an engine that ignores fencing numbers; ``failed`` says why the last load
-failed and is empty again after the next order.
+``fence`` is the highest fencing number of an order; engines that ignore fencing numbers omit it.
+``failed`` says why the last load failed; the next order clears it.
 
-``PUT /v1/orders`` names the whole state to hold, so that it may be repeated::
+``PUT /v1/orders`` sends the complete target state, so that the request is idempotent::
 
     {"fence": 18, "models": {"drafter": "v4"}, "adapters": ["gu"], "role": "both"}
 
-200 means taken (loads go on afterwards; the state says how far), 409 ``{"fence": 20}`` that the
-engine took an order with a higher number before, 429 or 503 that it can't take one now. What is
-not named is dropped at once, a load of it is cancelled.
+200 means accepted (loads continue afterwards, and the state shows their progress). 409
+``{"fence": 20}`` means that the engine has accepted an order with a higher number. 429 or 503 means
+that it cannot accept an order now. Models and adapters that the order does not name are unloaded
+at once, and loads of them are cancelled.
 """
 
 import abc
@@ -39,31 +40,31 @@
     "OrderUnknown",
 ]
 
-_STATE_PATH = "/v1/state"
+_ENGINE_STATE_PATH = "/v1/state"
 _ENGINE_ORDERS_PATH = "/v1/orders"
-_ANSWER_S = 2.0
+_TIMEOUT_S = 2.0
 
 
 @attrs.frozen
 class OrderTaken:
-    """The engine took the order."""
+    """The engine accepted the order."""
 
 
 @attrs.frozen
 class OrderFenced:
-    """The engine took an order with a higher number before."""
+    """The engine rejected the order, as it has accepted one with a higher fencing number."""
 
 
 @attrs.frozen
 class OrderRefused:
-    """The engine did not take the order now."""
+    """The engine cannot accept an order now."""
 
     reason: str
 
 
 @attrs.frozen
 class OrderUnknown:
-    """No answer: the engine may have taken it; the next read-back tells."""
+    """The engine did not answer. Its next state shows whether it accepted the order."""
 
 
 OrderOutcome = OrderTaken | OrderFenced | OrderRefused | OrderUnknown
@@ -71,36 +72,36 @@
 
 @attrs.frozen
 class NoEngine:
-    """The engine did not say what it holds."""
+    """The state of the engine could not be read."""
 
     reason: str
 
 
 class EngineControl(abc.ABC):
-    """How a sidecar meets the orders interface of its engine."""
+    """Control interface of an engine."""
 
     @abc.abstractmethod
     async def state(self) -> EngineState | NoEngine:
-        """Read back what the engine holds."""
+        """Return the models and adapters that the engine holds."""
 
     @abc.abstractmethod
     async def order(self, order: Order) -> OrderOutcome:
-        """Tell the engine what to hold."""
+        """Send the target state to the engine."""
 
 
 class HttpEngineControl(EngineControl):
-    """An engine's orders interface over HTTP."""
+    """Control interface of an engine over HTTP."""
 
     def __init__(self, address: str, pool: httpcore.AsyncConnectionPool) -> None:
         self._address = address
         self._pool = pool
 
     async def state(self) -> EngineState | NoEngine:
-        """Read back; see :meth:`EngineControl.state`."""
+        """Read the state; see :meth:`EngineControl.state`."""
         try:
-            response = await self._request("GET", _STATE_PATH, b"")
+            response = await self._request("GET", _ENGINE_STATE_PATH, b"")
             if response.status != 200:
-                return NoEngine(f"the engine answered {response.status}")
+                return NoEngine(f"the engine answered with status {response.status}")
             return EngineState.from_data(json.loads(response.content))
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException) as error:
             return NoEngine(f"no answer from the engine: {type(error).__name__}")
@@ -108,7 +109,7 @@
             return NoEngine(str(error))
 
     async def order(self, order: Order) -> OrderOutcome:
-        """Order; see :meth:`EngineControl.order`."""
+        """Send an order; see :meth:`EngineControl.order`."""
         body = json.dumps(attrs.asdict(order)).encode()
         try:
             response = await self._request("PUT", _ENGINE_ORDERS_PATH, body)
@@ -126,5 +127,5 @@
             self._address + path,
             headers=[("content-type", "application/json")],
             content=body,
-            extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_S)},
+            extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), _TIMEOUT_S)},
         )
--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/orders.py
@@ -1,4 +1,4 @@
-"""Orders from a sidecar to the engine beside it, one step at a time."""
+"""Reconciliation of an engine with the settings: loads the wanted models step by step."""
 
 import abc
 import random
@@ -18,22 +18,22 @@
 
 __all__ = ["OrderRunner", "WorkGate"]
 
-_READ_BACK_S = 1.0
-_AFTER_ORDER_S = 0.05
-_ROW_LIFE_S = 15.0
-# A decision that waited longer than this before it was carried out (the process was paused) is
-# made anew: what the others said is no longer true.
-_STALE_S = 2.0
-# A copy of a take that was delayed on its way may still bring a turn that nobody needs.
-_LATE_TAKE_S = 60.0
+_POLL_INTERVAL_S = 1.0
+_POLL_AFTER_ORDER_S = 0.05
+_ROW_TTL_S = 15.0
+# A decision older than this, since the process was paused, is made again: the state of the other
+# endpoints that it is based on may be outdated.
+_MAX_DECISION_AGE_S = 2.0
+# An append that was delayed on the network may still create a turn that is no longer needed.
+_LATE_TURN_S = 60.0
 
 
 class WorkGate(abc.ABC):
-    """Lets an order wait until nothing runs on the engine."""
+    """Drains the engine before an order that needs it idle."""
 
     @abc.abstractmethod
     def set_open(self, is_open: bool) -> None:
-        """Take new work or refuse it with "not run"; what runs is never touched."""
+        """Accept new requests, or refuse them as "not run"; running requests always continue."""
 
     @abc.abstractmethod
     def running(self) -> int:
@@ -41,13 +41,14 @@
 
 
 class OrderRunner:
-    """Brings one engine to the settings and keeps it there, one step at a time.
+    """Reconciles one engine with the settings, one step at a time.
 
     Attributes:
-        phase: What this endpoint is doing.
-        reason: Why it holds, for ``beryl status``.
-        leaving: Set when the endpoint leaves: nothing is ordered any more, and others don't
-            count on it. A load under way goes on in the engine and harms nobody.
+        phase: Current phase of this endpoint.
+        reason: Why no order is sent now, or the result of the last one; for ``beryl status``.
+        leaving: Set when the endpoint leaves. No further order is sent, and the other endpoints no
+            longer count on this one. A load in progress continues in the engine, which is
+            harmless.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         turns: TurnLog | None = None,
     ) -> None:
         self.phase = Phase.SERVING
-        self.reason = "not asked yet"
+        self.reason = "the engine has not been asked for its state yet"
         self.leaving = False
         self._endpoint_id = endpoint_id
         self._service = service
@@ -73,30 +74,32 @@
         self._gate = gate
         self._now_s = now_s
         self._rng = rng if rng is not None else random.Random()
-        self._orders = OrderSystem(self._rng)
-        self._rollout = RolloutSystem(endpoint_id)
+        self._order_rules = OrderSystem(self._rng)
+        self._rollout_rules = RolloutSystem(endpoint_id)
         self._turns = turns
-        self._turn_system = TurnSystem(endpoint_id, self._rng)
-        # A process that stood in this slot before may have left a turn.
-        self._tidy_until_s = now_s() + _LATE_TAKE_S
-        self._heard = OrderRowTable()
+        self._turn_rules = TurnSystem(endpoint_id, self._rng)
+        # An earlier process of this endpoint may have left a turn on the log.
+        self._turn_check_until_s = now_s() + _LATE_TURN_S
+        self._peer_rows = OrderRowTable()
         self._state: EngineState | None = None
-        self._ordered = 0
+        self._sent_orders = 0
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run steps until cancelled."""
         while True:
-            orders = self._ordered
+            orders_before = self._sent_orders
             await self.step()
-            # A load that needs no time is seen at once, so that the endpoint serves again.
-            pause_s = _READ_BACK_S if self._ordered == orders else _AFTER_ORDER_S
+            # Poll sooner after an order, so that the endpoint serves again soon after a short load.
+            pause_s = (
+                _POLL_INTERVAL_S if self._sent_orders == orders_before else _POLL_AFTER_ORDER_S
+            )
             await anyio.sleep(pause_s * (0.75 + 0.5 * self._rng.random()))
 
     async def step(self) -> None:
-        """Read back, decide, and order at most one thing."""
+        """Read the state of the engine, decide, and send at most one order."""
         if self._wanted() is None:
-            # A plain service is never asked: it would take the question for a call.
-            self.reason = f"the settings name no models for {self._service}"
+            # Plain services are not polled: they would handle the request as one of a caller.
+            self.reason = f"the settings list no models for service {self._service}"
             return
         state = await self._engine.state()
         if isinstance(state, NoEngine):
@@ -104,24 +107,24 @@
             return
         self._state = state
         if self.leaving:
-            self.phase, self.reason = Phase.LEAVING, "the endpoint leaves"
+            self.phase, self.reason = Phase.LEAVING, "the endpoint is leaving"
             return
         wanted = self._wanted()
         if wanted is None:
             return
         decided_s = self._now_s()
-        step = self._orders.decide(wanted, state, decided_s)
+        step = self._order_rules.decide(wanted, state, decided_s)
         if isinstance(step, Hold):
-            self._hold(step, wanted, state)
-            await self._tidy_turn(state, wanted)
+            self._update_phase(step, wanted, state)
+            await self._renew_or_end_turn(state, wanted)
         elif isinstance(step, Order):
             await self._send(step, decided_s)
-        elif await self._has_slot(step, decided_s):
+        elif await self._may_load(step, decided_s):
             await self._drain_and_send(step, decided_s)
         self._gate.set_open(self._serves(wanted, state))
 
     def row(self) -> OrderRow:
-        """Return what to tell the others."""
+        """Return the row about this endpoint that is sent to its peers."""
         wanted, state = self._wanted(), self._state
         if wanted is None or state is None:
             return OrderRow(self._endpoint_id, self.phase, done=False, serves=False, fence=0)
@@ -134,11 +137,11 @@
         )
 
     def hear(self, row: OrderRow) -> None:
-        """Take in what another endpoint said of itself."""
-        self._heard.put(row, self._now_s())
+        """Store a row received from a peer."""
+        self._peer_rows.put(row, self._now_s())
 
     def _wanted(self) -> Wanted | None:
-        """Return what the settings want, if they know the service and it is an engine's."""
+        """Return the target state; None if the service is unknown or has no engines."""
         service = self._view().services.get(self._service)
         if service is None or service.kind != "engine" or not service.models:
             return None
@@ -147,60 +150,64 @@
     def _serves(self, wanted: Wanted, state: EngineState) -> bool:
         return state.serves(wanted) and self.phase in (Phase.SERVING, Phase.INTENDS)
 
-    def _hold(self, step: Hold, wanted: Wanted, state: EngineState) -> None:
+    def _update_phase(self, step: Hold, wanted: Wanted, state: EngineState) -> None:
         self.reason = step.reason
         if state.is_loading:
             self.phase = Phase.LOADING
         elif state.serves(wanted):
-            self._rollout.withdraw()
+            self._rollout_rules.withdraw()
             self.phase = Phase.SERVING
 
-    async def _has_slot(self, step: NeedSlot, decided_s: float) -> bool:
-        """Whether this endpoint may load; who has begun keeps its slot through a failed load.
+    async def _may_load(self, step: NeedSlot, decided_s: float) -> bool:
+        """Whether this endpoint may load; it keeps its slot after a failed load.
 
-        So a version that can't be loaded takes one endpoint of the service and not all of them.
+        So a version that cannot be loaded stops one endpoint of the service and not all of them.
         """
         if self.phase is Phase.LOADING:
             return True
         if self.phase is Phase.DRAINING:
-            return await self._keeps_turn(step.interrupts)
-        decision = await self._decide(step.interrupts)
+            return await self._still_holds_turn(step.interrupts)
+        decision = await self._request_slot(step.interrupts)
         if not isinstance(decision, Go):
-            reason = decision.reason if isinstance(decision, Stay) else "queueing up on the log"
+            reason = decision.reason if isinstance(decision, Stay) else "waiting for a turn"
             self.phase, self.reason = Phase.INTENDS, reason
             return False
-        if self._now_s() - decided_s > _STALE_S:
-            self.reason = "paused between asking and acting; asking again"
+        if self._now_s() - decided_s > _MAX_DECISION_AGE_S:
+            self.reason = "the process was paused after the decision to load; deciding again"
             return False
         return True
 
-    async def _decide(self, interrupts: bool) -> TurnStep:
-        """Decide by the log's turns; without the log, engines that serve nothing ask the others.
+    async def _request_slot(self, interrupts: bool) -> TurnStep:
+        """Ask for a load slot by the turns on the log, or by the peers if the log is unavailable.
 
-        Such a load takes nothing away from callers, and the store itself refuses what is too much
-        for it, so a host that is replaced in an outage need not stay empty until its end.
+        Without the log, only engines that serve nothing may load. Such a load takes no capacity
+        away from callers, and the weight store refuses loads beyond its capacity. So a host that
+        is replaced during a log outage does not stay empty until the end of the outage.
         """
         if self._turns is not None and await self._turns.refresh():
-            return await self._by_turn(self._turns, interrupts)
+            return await self._decide_by_turn(self._turns, interrupts)
         if self._turns is not None and interrupts:
-            return Stay("the log does not answer; no endpoint stops serving until it does")
+            return Stay("the log does not answer; endpoints keep serving until it does")
         for row in await self._peers.exchange(self.row()):
             self.hear(row)
-        self._heard.drop_older(self._now_s() - _ROW_LIFE_S)
-        return self._rollout.decide(
-            self._peers.listed(), self._heard, self._limits(), interrupts, self._now_s()
+        self._peer_rows.drop_older(self._now_s() - _ROW_TTL_S)
+        return self._rollout_rules.decide(
+            self._peers.listed(), self._peer_rows, self._limits(), interrupts, self._now_s()
         )
 
-    async def _by_turn(self, turns: TurnLog, interrupts: bool) -> TurnStep:
-        """Take the next step; only who is next in turn asks the others, and each once a step."""
+    async def _decide_by_turn(self, turns: TurnLog, interrupts: bool) -> TurnStep:
+        """Take the next step by the queue of turns.
+
+        Only an endpoint whose turn has come asks its peers, and each of them once per step.
+        """
         limits = self._limits()
-        is_near = self._turn_system.is_near(turns.queue, limits)
-        answers = await self._peers.exchange(self.row()) if is_near else []
-        step = self._turn_system.decide(
-            turns.queue, self._peers.listed(), answers, limits, interrupts, self._now_s()
+        is_turn = self._turn_rules.is_near(turns.queue, limits)
+        peer_rows = await self._peers.exchange(self.row()) if is_turn else []
+        step = self._turn_rules.decide(
+            turns.queue, self._peers.listed(), peer_rows, limits, interrupts, self._now_s()
         )
         if isinstance(step, TakeTurn):
-            self._tidy_until_s = self._now_s() + _LATE_TAKE_S
+            self._turn_check_until_s = self._now_s() + _LATE_TURN_S
             await turns.take(self._endpoint_id)
         elif isinstance(step, RenewTurn):
             await turns.renew(self._endpoint_id)
@@ -208,68 +215,69 @@
             await turns.end(step)
         return step
 
-    async def _keeps_turn(self, interrupts: bool) -> bool:
-        """Whether an endpoint that has stopped serving may go on to its load.
+    async def _still_holds_turn(self, interrupts: bool) -> bool:
+        """Whether a draining endpoint still holds its turn and may load.
 
-        Load: its process was paused while it drained and others ended its turn, or the log went
-        down. It serves again instead of loading beside them or staying out for the whole outage.
+        Peers may have ended the turn while this process was paused, or the log may have become
+        unavailable. The endpoint then serves again. It must neither load at the same time as
+        others nor stay out of service for the whole outage.
         """
         if self._turns is None or not interrupts:
             return True
         if not await self._turns.refresh() or self._turns.queue.turn(self._endpoint_id) is None:
-            self.phase, self.reason = Phase.INTENDS, "the log does not show this endpoint's turn"
+            self.phase, self.reason = Phase.INTENDS, "the log does not confirm the turn held here"
             return False
-        await self._renew_turn(self._turns)
-        self.reason = "renewing the turn on the log"
-        return self._turn_system.holds(self._turns.queue, self._now_s())
+        await self._renew_if_due(self._turns)
+        self.reason = "renewing this endpoint's turn on the log"
+        return self._turn_rules.holds(self._turns.queue, self._now_s())
 
-    async def _renew_turn(self, turns: TurnLog) -> None:
-        if self._turn_system.renews(turns.queue, self._now_s()):
+    async def _renew_if_due(self, turns: TurnLog) -> None:
+        if self._turn_rules.renews(turns.queue, self._now_s()):
             await turns.renew(self._endpoint_id)
 
-    async def _tidy_turn(self, state: EngineState, wanted: Wanted) -> None:
-        """Renew the turn while a load is under way; end it once it is not needed any more."""
+    async def _renew_or_end_turn(self, state: EngineState, wanted: Wanted) -> None:
+        """Renew the turn during a load; end it when it is no longer needed."""
         turns = self._turns
-        own = turns.queue.turn(self._endpoint_id) if turns is not None else None
-        if turns is None or (own is None and self._now_s() > self._tidy_until_s):
+        own_turn = turns.queue.turn(self._endpoint_id) if turns is not None else None
+        if turns is None or (own_turn is None and self._now_s() > self._turn_check_until_s):
             return
         if not await turns.refresh():
             return
-        own = turns.queue.turn(self._endpoint_id)
-        if own is None:
+        own_turn = turns.queue.turn(self._endpoint_id)
+        if own_turn is None:
             return
         if self.phase is Phase.SERVING and state.fulfils(wanted):
-            await turns.end(EndTurn(self._endpoint_id, own.renewed_at))
+            await turns.end(EndTurn(self._endpoint_id, own_turn.renewed_at))
         else:
-            await self._renew_turn(turns)
+            await self._renew_if_due(turns)
 
     async def _drain_and_send(self, step: NeedSlot, decided_s: float) -> None:
-        """Stop taking work, wait for what runs without a limit of time, then order."""
-        self._rollout.withdraw()
+        """Refuse new requests, wait for running ones without a timeout, then send the order."""
+        self._rollout_rules.withdraw()
         self.phase = Phase.DRAINING
         self._gate.set_open(False)
         if self._gate.running():
-            self.reason = f"waiting for {self._gate.running()} requests to end"
+            self.reason = f"waiting for {self._gate.running()} running requests to end"
             return
         await self._send(step.order, decided_s)
 
     async def _send(self, order: Order, decided_s: float) -> None:
-        if self._now_s() - decided_s > _STALE_S:
-            self.reason = "paused between reading back and ordering; reading back again"
+        if self._now_s() - decided_s > _MAX_DECISION_AGE_S:
+            self.reason = "the process was paused before the order; reading the state again"
             return
-        self._ordered += 1
+        self._sent_orders += 1
         outcome = await self._engine.order(order)
         if isinstance(outcome, OrderRefused):
-            self._orders.ordered(self._now_s(), refused=True)
-            self.reason = f"the engine refused: {outcome.reason}"
+            self._order_rules.ordered(self._now_s(), refused=True)
+            self.reason = f"the engine refused the order: {outcome.reason}"
             return
-        self._orders.ordered(self._now_s(), refused=False)
-        self.reason = f"ordered: {type(outcome).__name__}"
+        self._order_rules.ordered(self._now_s(), refused=False)
+        self.reason = f"order sent: {type(outcome).__name__}"
         if self.phase is Phase.DRAINING and not isinstance(outcome, OrderFenced):
             self.phase = Phase.LOADING
 
     def _limits(self) -> RolloutLimits:
         view = self._view()
-        engines = sum(service.kind == "engine" for service in view.services.values())
-        least = view.services[self._service].min_serving
-        return RolloutLimits.share(least, view.weights.parallel_loads, engines)
+        engine_services = sum(service.kind == "engine" for service in view.services.values())
+        min_serving = view.services[self._service].min_serving
+        return RolloutLimits.share(min_serving, view.weights.parallel_loads, engine_services)
--- a/src/beryljunction/engines/peers.py
+++ b/src/beryljunction/engines/peers.py
@@ -1,4 +1,4 @@
-"""How far the endpoints of a service are with their orders, as their sidecars tell each other."""
+"""Exchange of load progress between the sidecars of one service."""
 
 import abc
 from collections.abc import Callable, Mapping
@@ -14,24 +14,24 @@
 __all__ = ["ORDERS_PATH", "HttpOrderPeers", "OrderPeers", "answer_orders"]
 
 ORDERS_PATH = "/beryl/v1/orders"
-_ANSWER_S = 1.0
-_ROW_BYTES = 4096
+_TIMEOUT_S = 1.0
+_MAX_ROW_BYTES = 4096
 
 
 class OrderPeers(abc.ABC):
-    """How a sidecar meets the other sidecars of its service."""
+    """The other sidecars of the service."""
 
     @abc.abstractmethod
     def listed(self) -> list[str]:
-        """Return the other endpoints of the service by the host list."""
+        """Return the ids of the other endpoints of the service in the host list."""
 
     @abc.abstractmethod
     async def exchange(self, own: OrderRow) -> list[OrderRow]:
-        """Tell every other endpoint how far this one is; return what those that answer say."""
+        """Send the row of this endpoint to all peers; return the rows of those that answer."""
 
 
 class HttpOrderPeers(OrderPeers):
-    """The other sidecars of the service over HTTP."""
+    """Exchanges rows with the other sidecars of the service over HTTP."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._fleet_key = fleet_key.encode()
 
     def listed(self) -> list[str]:
-        """Return the other endpoints; see :meth:`OrderPeers.listed`."""
+        """Return the ids of the other endpoints; see :meth:`OrderPeers.listed`."""
         return list(self._addresses())
 
     async def exchange(self, own: OrderRow) -> list[OrderRow]:
-        """Tell and ask all; see :meth:`OrderPeers.exchange`."""
+        """Exchange rows with all peers; see :meth:`OrderPeers.exchange`."""
         rows: list[OrderRow] = []
         async with anyio.create_task_group() as group:
             for address in self._addresses().values():
@@ -56,7 +56,7 @@
         return rows
 
     async def _ask(self, address: str, body: bytes, rows: list[OrderRow]) -> None:
-        timeouts = dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_S)
+        timeouts = dict.fromkeys(("connect", "read", "write", "pool"), _TIMEOUT_S)
         try:
             response = await self._pool.request(
                 "POST",
@@ -79,11 +79,11 @@
     receive: Receive,
     send: Send,
 ) -> None:
-    """Answer POST ORDERS_PATH: take in the asker's row, return the own one.
+    """Answer POST ORDERS_PATH: store the sender's row and return the row of this endpoint.
 
-    The caller has checked the fleet's key.
+    The calling code has checked the fleet key.
     """
-    body: Any = await read_body(receive, _ROW_BYTES)
+    body: Any = await read_body(receive, _MAX_ROW_BYTES)
     try:
         hear(decode(body or b"", OrderRow))
     except ValueError as error:
--- a/src/beryljunction/engines/turns.py
+++ b/src/beryljunction/engines/turns.py
@@ -1,4 +1,7 @@
-"""The turns of a service's endpoints on a stream of the platform's log."""
+"""Turns of the endpoints of a service, kept as a queue on a stream of the platform's log.
+
+An endpoint must hold a turn before it stops serving in order to load.
+"""
 
 import uuid
 
@@ -8,14 +11,16 @@
 
 __all__ = ["TurnLog"]
 
-_PAGE_RECORDS = 500
+_MAX_PAGE_RECORDS = 500
 
 
 class TurnLog:
-    """Reads and writes the turns; an append without an answer is found out by the next read.
+    """Reads and writes turns.
+
+    An append that gets no answer may still have succeeded, which the next read shows.
 
     Attributes:
-        queue: Turns as last read.
+        queue: The turns at the last read.
     """
 
     def __init__(self, log: LogClient, region: str, service: str) -> None:
@@ -24,9 +29,9 @@
         self._stream = f"turns-{region}-{service}"
 
     async def refresh(self) -> bool:
-        """Read to the stream's end; False when the log did not answer."""
+        """Read to the end of the stream; return False if the log did not answer."""
         while True:
-            page = await self._log.read(self._stream, self.queue.read_to, _PAGE_RECORDS)
+            page = await self._log.read(self._stream, self.queue.read_to, _MAX_PAGE_RECORDS)
             if isinstance(page, ReadFailed):
                 return False
             self.queue.apply(page)
@@ -34,14 +39,14 @@
                 return True
 
     async def take(self, endpoint_id: str) -> None:
-        """Queue an endpoint up."""
+        """Append an endpoint to the queue."""
         await self._log.append(self._stream, uuid.uuid4().hex, take_record(endpoint_id))
 
     async def renew(self, endpoint_id: str) -> None:
-        """Show that an endpoint still uses its turn."""
+        """Renew the turn of an endpoint, which shows that it is still in use."""
         await self._log.append(self._stream, uuid.uuid4().hex, renew_record(endpoint_id))
 
     async def end(self, step: EndTurn) -> None:
-        """End a turn."""
+        """Remove a turn from the queue."""
         data = end_record(step.endpoint_id, step.renewed_at)
         await self._log.append(self._stream, uuid.uuid4().hex, data)
