--- a/src/beryljunction/gateway/crashreports.py
+++ b/src/beryljunction/gateway/crashreports.py
@@ -29,7 +29,7 @@
     def encode(self) -> bytes:
         """Return it as JSON."""
         values = {
-            "crashes": [[row.digest, *row.start] for row in self.crashes],
+            "crashes": [[row.digest, *row.incarnation_id] for row in self.crashes],
             "served": self.served,
             "quarantined": [[digest, round(left_s, 1)] for digest, left_s in self.quarantined],
         }
@@ -53,8 +53,8 @@
             raise ValueError(f"expected a report of crashes, got {error!r}") from error
 
 
-def _crash(digest: Any, endpoint_id: Any, born_ms: Any) -> Crash:
-    return Crash(read_text(digest), read_start(endpoint_id, born_ms))
+def _crash(digest: Any, endpoint_id: Any, started_ms: Any) -> Crash:
+    return Crash(read_text(digest), read_start(endpoint_id, started_ms))
 
 
 def _quarantined(digest: Any, left_s: Any) -> tuple[str, float]:
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -190,12 +190,12 @@
             attempt=plan.sends,
             left_ms=int(self._remaining_s() * 1000),
         )
-        sent_s = endpoint.waits[call] = boot_time_s()
-        endpoint.reading_tokens += reading.unread_tokens
+        sent_s = endpoint.pending_since_s[call] = boot_time_s()
+        endpoint.prefill_tokens += reading.unread_tokens
         try:
             head = await call.head()
         finally:
-            endpoint.reading_tokens -= reading.unread_tokens
+            endpoint.prefill_tokens -= reading.unread_tokens
             endpoint.end_wait(call, boot_time_s())
         took_ms = (boot_time_s() - sent_s) * 1000
         if not admitted.route.streamed:
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -57,7 +57,7 @@
             endpoints_by=known.source,
             load=round(endpoint.load(boot_time_s()), 1),
             session=parts[-1] if parts else "",
-            reading=endpoint.reading_tokens,
+            reading=endpoint.prefill_tokens,
             unread=reading.unread_tokens,
             fetch_from=reading.source.record.endpoint_id if reading.source is not None else "",
             **fields,
--- a/src/beryljunction/gateway/fields.py
+++ b/src/beryljunction/gateway/fields.py
@@ -31,12 +31,12 @@
     return text
 
 
-def read_start(endpoint_id: Any, born_ms: Any) -> tuple[str, int]:
+def read_start(endpoint_id: Any, started_ms: Any) -> tuple[str, int]:
     """Return the id and start time of an endpoint after checking their types.
 
     Raises:
         ValueError: One of them has the wrong type, or the id is too long.
     """
-    if not isinstance(born_ms, int):
-        raise ValueError(f"expected an endpoint's start time in ms, got {born_ms!r}")
-    return read_text(endpoint_id), born_ms
+    if not isinstance(started_ms, int):
+        raise ValueError(f"expected an endpoint's start time in ms, got {started_ms!r}")
+    return read_text(endpoint_id), started_ms
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -51,7 +51,7 @@
 
     def _has_record(self, endpoint_id: str) -> bool:
         known = self._state.registry.find(endpoint_id)
-        return known is not None and known.lapses_s is None
+        return known is not None and known.kept_until_s is None
 
     def take_from_peer(self, offset: int, records: Iterable[Record]) -> None:
         """Apply the full list of an entry that has read further."""
@@ -147,7 +147,7 @@
         self._values[record.key] = record.value
         was_known = registry.find(record.key)
         was_draining = was_known is not None and was_known.record.is_draining
-        is_same = was_known is not None and was_known.record.is_same_start(decoded)
+        is_same = was_known is not None and was_known.record.is_same_incarnation(decoded)
         registry.put(decoded, now_s)
         if decoded.cold_ms is None:
             events.write("endpoint_cold_unreadable", endpoint=decoded.endpoint_id)
@@ -158,5 +158,5 @@
                 "endpoint_draining" if decoded.is_draining else "endpoint_joined",
                 endpoint=decoded.endpoint_id,
                 service=decoded.service,
-                born_ms=decoded.born_ms,
+                born_ms=decoded.started_ms,
             )
--- a/src/beryljunction/gateway/news.py
+++ b/src/beryljunction/gateway/news.py
@@ -38,8 +38,10 @@
         values = {
             "host": self.host,
             "life": self.life,
-            "moved": [[*row.start, *row.part_ids] for row in self.moved],
-            "loads": [[*row.start, row.requests, round(row.age_s, 2)] for row in self.loads],
+            "moved": [[*row.incarnation_id, *row.part_ids] for row in self.moved],
+            "loads": [
+                [*row.incarnation_id, row.requests, round(row.age_s, 2)] for row in self.loads
+            ],
         }
         return json.dumps(values, separators=(",", ":")).encode()
 
@@ -64,18 +66,18 @@
             raise ValueError(f"expected news of an entry, got {error!r}") from error
 
 
-def _decode_moved(endpoint_id: Any, born_ms: Any, *part_ids: Any) -> MovedSession:
+def _decode_moved(endpoint_id: Any, started_ms: Any, *part_ids: Any) -> MovedSession:
     if not 1 <= len(part_ids) <= _MAX_PARTS:
         raise ValueError(f"expected 1 to {_MAX_PARTS} parts, got {len(part_ids)}")
     return MovedSession(
-        tuple(read_text(part) for part in part_ids), read_start(endpoint_id, born_ms)
+        tuple(read_text(part) for part in part_ids), read_start(endpoint_id, started_ms)
     )
 
 
-def _decode_load(endpoint_id: Any, born_ms: Any, requests: Any, age_s: Any) -> LoadNews:
+def _decode_load(endpoint_id: Any, started_ms: Any, requests: Any, age_s: Any) -> LoadNews:
     if not isinstance(requests, int) or not 0 <= requests <= _MAX_REQUESTS:
         raise ValueError(f"expected 0 to {_MAX_REQUESTS} requests, got {requests!r}")
-    return LoadNews(read_start(endpoint_id, born_ms), requests, _age(age_s))
+    return LoadNews(read_start(endpoint_id, started_ms), requests, _age(age_s))
 
 
 def _age(age_s: Any) -> float:
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -75,7 +75,7 @@
 
     def note_crash(self, digest: str, endpoint: KnownEndpoint) -> None:
         """Record that an endpoint crashed while it ran a request of this entry."""
-        crash = Crash(digest, endpoint.start)
+        crash = Crash(digest, endpoint.incarnation_id)
         self._events.write("endpoint_ended", digest=digest, endpoint=endpoint.record.endpoint_id)
         for host in self._owners(digest):
             self._enqueue(host, crash)
@@ -175,7 +175,9 @@
     def _count_crash(self, crash: Crash) -> None:
         if not self._table.note_crash(crash, boot_time_s()):
             return
-        self._events.write("request_quarantined", digest=crash.digest, endpoint=crash.start[0])
+        self._events.write(
+            "request_quarantined", digest=crash.digest, endpoint=crash.incarnation_id[0]
+        )
         self._unsaved.append(crash.digest)
         self.untold.set()
         for host in self._fan_out.addresses():
--- a/src/beryljunction/platform/records.py
+++ b/src/beryljunction/platform/records.py
@@ -54,7 +54,7 @@
             raise _FieldError(f"address: expected IP:PORT, got {fields.get('address')!r}")
         return EndpointRecord(
             endpoint_id=endpoint_id,
-            born_ms=_born_ms(fields),
+            started_ms=_started_ms(fields),
             service=_string(fields, "service"),
             address=address,
             availability_zone=_string(fields, "zone"),
@@ -105,7 +105,7 @@
         return Unusable(str(error))
 
 
-def _born_ms(fields: Mapping[str, Any]) -> int:
+def _started_ms(fields: Mapping[str, Any]) -> int:
     """Return the Unix time in ms at which the endpoint started; it identifies a start of one id."""
     return _integer(fields, "born", 0, default=0)
 
--- a/src/beryljunction/routing/crashes.py
+++ b/src/beryljunction/routing/crashes.py
@@ -29,16 +29,16 @@
 
     Attributes:
         digest: Digest of the request.
-        start: Id and start time of the endpoint.
+        incarnation_id: Id and start time of the endpoint.
     """
 
     digest: str
-    start: tuple[str, int]
+    incarnation_id: tuple[str, int]
 
 
 @attrs.define
 class _CrashCount:
-    starts: set[tuple[str, int]] = attrs.field(factory=set)
+    incarnation_ids: set[tuple[str, int]] = attrs.field(factory=set)
     at_s: float = -math.inf
 
 
@@ -62,10 +62,10 @@
         row = self._crashes.get(digest)
         if row is None or now_s - row.at_s > _QUARANTINE_S:
             row = self._crashes[digest] = _CrashCount()
-        row.starts.add(crash.start)
+        row.incarnation_ids.add(crash.incarnation_id)
         row.at_s = now_s
         _evict_oldest(self._crashes, digest, _MAX_DIGESTS)
-        return len(row.starts) >= _QUARANTINE_CRASHES and self.quarantine(
+        return len(row.incarnation_ids) >= _QUARANTINE_CRASHES and self.quarantine(
             digest, _QUARANTINE_S, now_s
         )
 
--- a/src/beryljunction/routing/endpoints.py
+++ b/src/beryljunction/routing/endpoints.py
@@ -56,14 +56,14 @@
         one.
         """
         known = self._rows.get(record.endpoint_id)
-        if known is None or not known.record.is_same_start(record):
+        if known is None or not known.record.is_same_incarnation(record):
             self._drop(record.endpoint_id)
             known = self._rows[record.endpoint_id] = self._create_row(record, now_s)
         elif known.record != record:
             known.note_cold(record.cold_ms, now_s)
         if record.sequence >= known.record.sequence:
             known.record = record
-        known.lapses_s = None
+        known.kept_until_s = None
         return known
 
     def _create_row(self, record: EndpointRecord, now_s: float) -> KnownEndpoint:
@@ -73,14 +73,14 @@
         this one started may be its own, although its record is read only now.
         """
         former = self._departed.pop(record.endpoint_id, None)
-        if former is not None and former.record.is_same_start(record):
+        if former is not None and former.record.is_same_incarnation(record):
             known = former
         else:
             known = KnownEndpoint(record)
             if former is not None:
                 known.paused_until_s = former.paused_until_s
                 known.leaving_s = (
-                    former.leaving_s if former.has_left_since(record.born_ms) else None
+                    former.leaving_s if former.has_left_since(record.started_ms) else None
                 )
         known.is_evacuated = record.availability_zone in self._evacuated
         known.note_cold(record.cold_ms, now_s)
@@ -113,9 +113,9 @@
         known = self._rows.get(endpoint_id)
         if known is None:
             return None
-        if known.lapses_s is None:
-            known.lapses_s = self._contact.regained_s + _REREGISTRATION_S
-        if known.has_said_leaving or known.lapses_s <= now_s:
+        if known.kept_until_s is None:
+            known.kept_until_s = self._contact.regained_s + _REREGISTRATION_S
+        if known.has_said_leaving or known.kept_until_s <= now_s:
             self._drop(endpoint_id)
         return known
 
@@ -132,7 +132,7 @@
     def expire(self, now_s: float) -> None:
         """Drop endpoints whose record did not come back after an outage of the store."""
         for endpoint_id, row in list(self._rows.items()):
-            if row.lapses_s is not None and row.lapses_s <= now_s:
+            if row.kept_until_s is not None and row.kept_until_s <= now_s:
                 self._drop(endpoint_id)
 
     def evacuated(self, service: str) -> list[KnownEndpoint]:
--- a/src/beryljunction/routing/knownendpoint.py
+++ b/src/beryljunction/routing/knownendpoint.py
@@ -36,7 +36,7 @@
     """Record that an endpoint publishes about itself.
 
     Attributes:
-        born_ms: Unix milliseconds of its start; another incarnation under the same id has no state
+        started_ms: Unix milliseconds of its start; another incarnation under the same id has no state
             of this one.
         slots: Number of requests that it runs concurrently.
         sequence: Number of the record among those of its incarnation.
@@ -44,7 +44,7 @@
     """
 
     endpoint_id: str
-    born_ms: int
+    started_ms: int
     service: str
     address: tuple[str, int]
     availability_zone: str
@@ -53,10 +53,10 @@
     cold_ms: int | None = 0
     sequence: int = 0
 
-    def is_same_start(self, other: "EndpointRecord") -> bool:
+    def is_same_incarnation(self, other: "EndpointRecord") -> bool:
         """Return whether both records are of one incarnation at one address."""
-        mine = (self.endpoint_id, self.born_ms, self.address, self.service)
-        return mine == (other.endpoint_id, other.born_ms, other.address, other.service)
+        mine = (self.endpoint_id, self.started_ms, self.address, self.service)
+        return mine == (other.endpoint_id, other.started_ms, other.address, other.service)
 
 
 @attrs.frozen
@@ -123,9 +123,9 @@
 
     Attributes:
         in_flight: Requests of this process that it has.
-        reading_tokens: Prompt tokens that it is estimated to be prefilling for this process.
-        waits: Send time of each request that has no answer yet.
-        lapses_s: Until when it is kept without a record, which may have expired in an outage of the
+        prefill_tokens: Prompt tokens that it is estimated to be prefilling for this process.
+        pending_since_s: Send time of each request that has no answer yet.
+        kept_until_s: Until when it is kept without a record, which may have expired in an outage of the
             store; None while the record exists.
         is_evacuated: Whether its availability zone gets no new requests.
         leaving_s: Unix seconds at which an answer first said that it is leaving; None if none did.
@@ -138,9 +138,9 @@
 
     record: EndpointRecord
     in_flight: int = 0
-    reading_tokens: int = 0
+    prefill_tokens: int = 0
     report: LoadReport | None = None
-    lapses_s: float | None = None
+    kept_until_s: float | None = None
     is_evacuated: bool = False
     leaving_s: float | None = None
     paused_until_s: float = -math.inf
@@ -150,14 +150,14 @@
     cold_sends_s: collections.deque[float] = attrs.field(factory=collections.deque)
     pace: Pace = attrs.field(factory=Pace)
     faults: FaultShare = attrs.field(factory=FaultShare)
-    waits: dict[object, float] = attrs.field(factory=dict)
+    pending_since_s: dict[object, float] = attrs.field(factory=dict)
     failures: int = 0
     suspect_until_s: float = -math.inf
 
     @property
-    def start(self) -> tuple[str, int]:
+    def incarnation_id(self) -> tuple[str, int]:
         """Id and start time, which identify the incarnation."""
-        return self.record.endpoint_id, self.record.born_ms
+        return self.record.endpoint_id, self.record.started_ms
 
     @property
     def is_open(self) -> bool:
@@ -177,9 +177,9 @@
         """Return whether it has asked to get no requests now."""
         return now_s < self.paused_until_s
 
-    def has_left_since(self, born_ms: int) -> bool:
+    def has_left_since(self, started_ms: int) -> bool:
         """Return whether an answer later than this start time said that it is leaving."""
-        return self.leaving_s is not None and born_ms <= self.leaving_s * 1000
+        return self.leaving_s is not None and started_ms <= self.leaving_s * 1000
 
     def note_cold(self, cold_ms: int | None, now_s: float) -> None:
         """Record its remaining warm-up time; None if that is not known."""
@@ -196,7 +196,7 @@
         freshness = max(0.0, 1.0 - (now_s - self.report.at_s) / _REPORT_DECAY_S)
         return self.in_flight + others * freshness
 
-    def unseen(self, mean_load: float, now_s: float) -> float:
+    def expected_unreported(self, mean_load: float, now_s: float) -> float:
         """Return the expected number of requests that it got since its last load report.
 
         Args:
@@ -207,11 +207,11 @@
         return mean_load * min(1.0, max(0.0, age_s / _REPORT_OUTDATED_S))
 
     @property
-    def stated_load(self) -> int:
+    def reported_load(self) -> int:
         """Requests that it had according to its last load report; 0 without a report."""
         return self.report.running + self.report.waiting if self.report is not None else 0
 
-    def hear_load(self, requests: int, at_s: float) -> None:
+    def merge_load(self, requests: int, at_s: float) -> None:
         """Record a load that it stated to another entry, unless a later one is known."""
         if self.report is None or at_s > self.report.at_s:
             self.report = LoadReport(requests, 0, min(self.in_flight, requests), at_s)
@@ -231,12 +231,12 @@
 
     def end_wait(self, request: object, now_s: float) -> None:
         """Record that a request no longer waits; too long a wait counts as a bad outcome."""
-        if now_s - self.waits.pop(request) > _STALL_S:
+        if now_s - self.pending_since_s.pop(request) > _STALL_S:
             self.faults.note(is_bad=True, now_s=now_s)
 
     def is_stalled(self, now_s: float) -> bool:
         """Return whether a request has been waiting for its answer for too long."""
-        return any(now_s - sent_s > _STALL_S for sent_s in self.waits.values())
+        return any(now_s - sent_s > _STALL_S for sent_s in self.pending_since_s.values())
 
     def is_suspect(self, now_s: float) -> bool:
         """Return whether it is skipped because of a recent failure."""
--- a/src/beryljunction/routing/loadnews.py
+++ b/src/beryljunction/routing/loadnews.py
@@ -20,11 +20,11 @@
     """Load that an endpoint stated: its requests from all entries.
 
     Attributes:
-        start: Id and start time of the endpoint.
+        incarnation_id: Id and start time of the endpoint.
         age_s: Time since the endpoint stated it.
     """
 
-    start: tuple[str, int]
+    incarnation_id: tuple[str, int]
     requests: int
     age_s: float
 
@@ -40,27 +40,28 @@
     """
     fresh = [row for row in rows if row.report and now_s - row.report.at_s < _MAX_AGE_S]
     means = _means(fresh)
-    above_mean = [row for row in fresh if row.stated_load > means[row.record.service]]
+    above_mean = [row for row in fresh if row.reported_load > means[row.record.service]]
     above_mean.sort(key=lambda row: _age_s(row, now_s))
     return tuple(
-        LoadNews(row.start, row.stated_load, _age_s(row, now_s)) for row in above_mean[:_MAX_ROWS]
+        LoadNews(row.incarnation_id, row.reported_load, _age_s(row, now_s))
+        for row in above_mean[:_MAX_ROWS]
     )
 
 
 def hear_loads(rows: Sequence[KnownEndpoint], loads: Iterable[LoadNews], now_s: float) -> None:
     """Apply loads that another entry shared; later reports that are known here stay."""
-    known = {row.start: row for row in rows}
+    known = {row.incarnation_id: row for row in rows}
     for load in loads:
-        row = known.get(load.start)
+        row = known.get(load.incarnation_id)
         if row is not None:
-            row.hear_load(load.requests, now_s - load.age_s)
+            row.merge_load(load.requests, now_s - load.age_s)
 
 
 def _means(rows: Iterable[KnownEndpoint]) -> dict[str, float]:
     """Return the mean of the stated loads of each service."""
     loads: dict[str, list[int]] = {}
     for row in rows:
-        loads.setdefault(row.record.service, []).append(row.stated_load)
+        loads.setdefault(row.record.service, []).append(row.reported_load)
     return {service: sum(values) / len(values) for service, values in loads.items()}
 
 
--- a/src/beryljunction/routing/moved.py
+++ b/src/beryljunction/routing/moved.py
@@ -20,11 +20,11 @@
 
     Attributes:
         part_ids: Ids of the prompt parts that it shares with other requests, in order.
-        start: Id and start time of the endpoint.
+        incarnation_id: Id and start time of the endpoint.
     """
 
     part_ids: tuple[str, ...]
-    start: tuple[str, int]
+    incarnation_id: tuple[str, int]
 
 
 class MovedSessions:
--- a/src/beryljunction/routing/placement.py
+++ b/src/beryljunction/routing/placement.py
@@ -100,7 +100,9 @@
     ) -> KnownEndpoint | None:
         """Return the least loaded endpoint."""
         loads = weighted_loads(rows, now_s, self._mechanisms)
-        return min(rows, key=lambda row: self._load_share(row, loads[row.start]), default=None)
+        return min(
+            rows, key=lambda row: self._load_share(row, loads[row.incarnation_id]), default=None
+        )
 
     def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
         """Do nothing: plain calls have no long prompt."""
--- a/src/beryljunction/routing/soundness.py
+++ b/src/beryljunction/routing/soundness.py
@@ -30,10 +30,10 @@
     Slowness is the ratio of its pace to the median of its peers.
     """
     if not mechanisms.slowness:
-        return {row.start: row.load(now_s) for row in rows}
+        return {row.incarnation_id: row.load(now_s) for row in rows}
     paces = [row.pace.mean_ms for row in rows if row.pace.is_fresh(now_s)]
     median_ms = sorted(paces)[len(paces) // 2] if len(paces) >= _MIN_PACES else 0.0
-    return {row.start: row.load(now_s) * _slowness(row, median_ms, now_s) for row in rows}
+    return {row.incarnation_id: row.load(now_s) * _slowness(row, median_ms, now_s) for row in rows}
 
 
 def _slowness(row: KnownEndpoint, median_ms: float, now_s: float) -> float:
--- a/src/beryljunction/routing/warm_placement.py
+++ b/src/beryljunction/routing/warm_placement.py
@@ -72,7 +72,7 @@
         open_rows = iter(self._under_bound(order, loads, bound, has_margin, now_s))
         first, second = next(open_rows, None), next(open_rows, None)
         if first is None or not demand.parts.ids:
-            return min(rows, key=lambda row: loads[row.start])
+            return min(rows, key=lambda row: loads[row.incarnation_id])
         pace = self.pace(first.record.service)
         if not self._mechanisms.patience:
             return first
@@ -99,14 +99,14 @@
         only the set-up of a fetch.
         """
         parts = demand.parts
-        here = self._warmth.kept_tokens(chosen.start, parts, now_s)
+        here = self._warmth.kept_tokens(chosen.incarnation_id, parts, now_s)
         total = parts.shared_tokens
-        others = [row for row in rows if row.start != chosen.start]
+        others = [row for row in rows if row.incarnation_id != chosen.incarnation_id]
         source, kept = self._warmth.best_source(others, parts, now_s)
         known = max(kept, here if len(others) < len(rows) else 0)
         unread_tokens = total - known + parts.own_tokens
         if self._mechanisms.warmth:
-            self._warmth.note(chosen.start, parts.ids, now_s)
+            self._warmth.note(chosen.incarnation_id, parts.ids, now_s)
         self._note_placed(rows, chosen, parts, now_s)
         if not self._mechanisms.fetch:
             return Reading(None, unread_tokens)
@@ -125,7 +125,7 @@
     def learn(self, session: MovedSession, now_s: float) -> None:
         """Record where another entry has placed a session."""
         if self._mechanisms.moved_news and self._mechanisms.warmth:
-            self._warmth.note(session.start, session.part_ids, now_s)
+            self._warmth.note(session.incarnation_id, session.part_ids, now_s)
 
     def joined(self, endpoint_id: str, now_s: float) -> None:
         """Announce the sessions for which a new endpoint ranks before the one with their prefix.
@@ -135,7 +135,9 @@
         """
         for session, placed_s in self._placed.values():
             rank = _rank(session.part_ids)
-            if now_s - placed_s < _PLACED_TTL_S and rank(endpoint_id) < rank(session.start[0]):
+            if now_s - placed_s < _PLACED_TTL_S and rank(endpoint_id) < rank(
+                session.incarnation_id[0]
+            ):
                 self.moved.note(session, now_s)
 
     def _note_placed(
@@ -143,7 +145,7 @@
     ) -> None:
         if not parts.ids or not self._mechanisms.moved_news:
             return
-        session = MovedSession(parts.ids, chosen.start)
+        session = MovedSession(parts.ids, chosen.incarnation_id)
         self._placed[parts.ids[-1]] = session, now_s
         self._placed.move_to_end(parts.ids[-1])
         while len(self._placed) > _MAX_PLACED:
@@ -163,8 +165,12 @@
         warm = self._warmth.warm(rows, parts, now_s)
         rank = _rank(parts.ids)
         if not self._mechanisms.home:
-            return sorted(rows, key=lambda row: (row.start not in warm, loads[row.start]))
-        return sorted(rows, key=lambda row: (row.start not in warm, rank(row.record.endpoint_id)))
+            return sorted(
+                rows, key=lambda row: (row.incarnation_id not in warm, loads[row.incarnation_id])
+            )
+        return sorted(
+            rows, key=lambda row: (row.incarnation_id not in warm, rank(row.record.endpoint_id))
+        )
 
     def _under_bound(
         self,
@@ -177,9 +183,13 @@
         if not self._mechanisms.bound:
             return order
         if not has_margin:
-            return [row for row in order if loads[row.start] < bound]
+            return [row for row in order if loads[row.incarnation_id] < bound]
         mean = sum(loads.values()) / len(order)
-        return [row for row in order if loads[row.start] < bound - _unseen_margin(row, mean, now_s)]
+        return [
+            row
+            for row in order
+            if loads[row.incarnation_id] < bound - _unreported_margin(row, mean, now_s)
+        ]
 
 
 def _load_bound(loads: Collection[float], closed: Sequence[KnownEndpoint], now_s: float) -> float:
@@ -194,18 +204,18 @@
     return _BOUND_RATIO * total / (len(loads) + len(closed)) + _BOUND_ALLOWANCE
 
 
-def _unseen_margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
+def _unreported_margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
     """Return the margin for requests that an endpoint got unseen since its last report.
 
     One entry of many sees little of what the others send. The number of such requests is random;
     the margin is its standard deviation, the square root of the expected number.
     """
-    return math.sqrt(row.unseen(mean, now_s))
+    return math.sqrt(row.expected_unreported(mean, now_s))
 
 
 def _queue_ms(row: KnownEndpoint, pace: ReadingPace) -> float:
     """Return how long an endpoint will take to prefill the prompts that it already has."""
-    return row.reading_tokens * _OTHER_ENTRIES_FACTOR / pace.tokens_per_ms
+    return row.prefill_tokens * _OTHER_ENTRIES_FACTOR / pace.tokens_per_ms
 
 
 def _home(rows: Sequence[KnownEndpoint], parts: PromptParts) -> KnownEndpoint:
--- a/src/beryljunction/routing/warmth.py
+++ b/src/beryljunction/routing/warmth.py
@@ -46,19 +46,19 @@
         self._parts: collections.OrderedDict[str, dict[tuple[str, int], float]]
         self._parts = collections.OrderedDict()
 
-    def note(self, start: tuple[str, int], part_ids: Iterable[str], now_s: float) -> None:
+    def note(self, incarnation_id: tuple[str, int], part_ids: Iterable[str], now_s: float) -> None:
         """Record that an endpoint prefills these parts."""
         for part in part_ids:
-            self._parts.setdefault(part, {})[start] = now_s
+            self._parts.setdefault(part, {})[incarnation_id] = now_s
             self._parts.move_to_end(part)
         while len(self._parts) > _MAX_PARTS:
             self._parts.popitem(last=False)
 
-    def kept_tokens(self, start: tuple[str, int], parts: PromptParts, now_s: float) -> int:
+    def kept_tokens(self, incarnation_id: tuple[str, int], parts: PromptParts, now_s: float) -> int:
         """Return how many leading tokens an endpoint is estimated to have cached."""
         kept = 0
         for part, tokens in zip(parts.ids, parts.tokens, strict=True):
-            used_s = self._parts.get(part, {}).get(start)
+            used_s = self._parts.get(part, {}).get(incarnation_id)
             if used_s is None or now_s - used_s > _CACHED_S:
                 break
             kept += tokens
@@ -70,7 +70,7 @@
         """Return the endpoint with the most leading tokens cached (estimate), and their number."""
         best, most = None, 0
         for row in rows:
-            kept = self.kept_tokens(row.start, parts, now_s)
+            kept = self.kept_tokens(row.incarnation_id, parts, now_s)
             if kept > most:
                 best, most = row, kept
         return best, most
@@ -81,5 +81,9 @@
         """Return the incarnations that are estimated to have all parts cached."""
         total = parts.shared_tokens
         readers = self._parts.get(parts.ids[-1], {}) if parts.ids else {}
-        starts = {row.start for row in rows if row.start in readers}
-        return {start for start in starts if self.kept_tokens(start, parts, now_s) >= total}
+        incarnation_ids = {row.incarnation_id for row in rows if row.incarnation_id in readers}
+        return {
+            incarnation_id
+            for incarnation_id in incarnation_ids
+            if self.kept_tokens(incarnation_id, parts, now_s) >= total
+        }
--- a/testing/routing_fakes.py
+++ b/testing/routing_fakes.py
@@ -15,10 +15,10 @@
 __all__ = ["config_of", "endpoint", "known", "route_of"]
 
 
-def endpoint(name, service="engine", born_ms=1, port=9000, **fields):
+def endpoint(name, service="engine", started_ms=1, port=9000, **fields):
     values = {"availability_zone": "a", "slots": 4, "is_draining": False, "cold_ms": 0}
     values.update(fields)
-    return EndpointRecord(name, born_ms, service, ("127.0.0.1", port), **values)
+    return EndpointRecord(name, started_ms, service, ("127.0.0.1", port), **values)
 
 
 def known(name, in_flight=0, **fields):
--- a/testing/test_endpoint_registry.py
+++ b/testing/test_endpoint_registry.py
@@ -53,16 +53,16 @@
         Its load would look high for seconds, and sessions would be sent there as if their prefixes
         were still cached.
         """
-        registry = registry_of(endpoint("a", born_ms=1))
+        registry = registry_of(endpoint("a", started_ms=1))
         before = registry.find("a")
         before.in_flight = 7
         before.report = LoadReport(9, 3, 7, 0.0)
 
-        after = registry.put(endpoint("a", born_ms=2), 50.0)
+        after = registry.put(endpoint("a", started_ms=2), 50.0)
 
         assert after is not before
         assert after.load(1.0) == 0.0
-        assert after.start != before.start
+        assert after.incarnation_id != before.incarnation_id
         assert not registry.is_usable(before)
 
     def test_another_address_under_the_same_id_is_another_incarnation(self):
@@ -183,6 +183,6 @@
     def test_record_numbers_of_a_new_incarnation_start_again(self):
         registry = EndpointRegistry()
         registry.put(endpoint("e1", sequence=40, is_draining=True), 0.0)
-        registry.put(endpoint("e1", born_ms=2, sequence=1), 1.0)
+        registry.put(endpoint("e1", started_ms=2, sequence=1), 1.0)
 
         assert len(registry.usable("engine", 1.0)) == 1
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -86,7 +86,7 @@
         registry.put(endpoint("e1"), 0.0)
         registry.find("e1").note_pause(3.0, 0.0)
         registry.remove("e1", 0.5)
-        registry.put(endpoint("e1", born_ms=2), 1.0)
+        registry.put(endpoint("e1", started_ms=2), 1.0)
 
         assert registry.usable("engine", 2.0) == []
 
@@ -215,14 +215,14 @@
 
     def test_later_start_is_not_leaving(self):
         registry = self.registry()
-        registry.put(endpoint("e1", born_ms=501), 1.0)
+        registry.put(endpoint("e1", started_ms=501), 1.0)
 
         assert self.usable(registry) == ["e2", "e1"]
 
     def test_leaving_applies_to_a_start_whose_record_is_read_late(self):
         """Guards against attributing a response of a new start to the previous start."""
         registry = self.registry()
-        registry.put(endpoint("e1", born_ms=499), 1.0)
+        registry.put(endpoint("e1", started_ms=499), 1.0)
 
         assert self.usable(registry) == ["e2"]
 
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -48,8 +48,8 @@
 
         def expire(self, now_s):
             for row in self._rows.values():
-                if row.lapses_s is not None:
-                    row.lapses_s = self._contact.regained_s + 2.0
+                if row.kept_until_s is not None:
+                    row.kept_until_s = self._contact.regained_s + 2.0
             ORIGINAL(self, now_s)
 
         monkeypatch.setattr(StoreContact, "note_answer", note_answer)
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -94,17 +94,17 @@
             wanted = demand(f"chat{number}")
             row = placement.choose(rows, wanted, 0.0)
             placement.reading(rows, row, wanted, 0.0)
-            chosen.append(row.start)
+            chosen.append(row.incarnation_id)
         return chosen
 
     def test_without_warmth_a_session_follows_its_hash_to_a_new_endpoint(self):
         placement, rows = WarmPlacement(off("warmth")), rows_of(4)
         sessions = [demand(f"chat{n}") for n in range(60)]
-        before = [placement.choose(rows, wanted, 0.0).start for wanted in sessions]
+        before = [placement.choose(rows, wanted, 0.0).incarnation_id for wanted in sessions]
         for wanted in sessions:
             placement.reading(rows, placement.choose(rows, wanted, 0.0), wanted, 0.0)
 
-        after = [placement.choose([*rows, known("new")], w, 0.1).start for w in sessions]
+        after = [placement.choose([*rows, known("new")], w, 0.1).incarnation_id for w in sessions]
 
         moved = [new for old, new in zip(before, after, strict=True) if new != old]
         assert moved
@@ -114,7 +114,7 @@
         rows = rows_of(3, in_flight=2)
         rows[1].in_flight = 0
 
-        assert {*self.placed(off("home"), rows)} == {rows[1].start}
+        assert {*self.placed(off("home"), rows)} == {rows[1].incarnation_id}
 
     def test_without_bound_an_overloaded_home_still_gets_its_session(self):
         rows = rows_of(4)
@@ -137,7 +137,7 @@
     def test_without_patience_a_session_waits_behind_a_long_prefill(self):
         rows = rows_of(4)
         home = WarmPlacement().choose(rows, demand(), 0.0)
-        home.reading_tokens = 50_000
+        home.prefill_tokens = 50_000
 
         assert WarmPlacement(off("patience")).choose(rows, demand(), 0.0) is home
         assert WarmPlacement().choose(rows, demand(), 0.0) is not home
@@ -161,7 +161,7 @@
         elsewhere = next(row for row in rows if row is not home)
 
         placement.reading(rows, elsewhere, demand("other"), 0.0)
-        placement.learn(MovedSession(demand().parts.ids, elsewhere.start), 0.0)
+        placement.learn(MovedSession(demand().parts.ids, elsewhere.incarnation_id), 0.0)
 
         assert placement.moved.end == 0
         assert placement.choose(rows, demand(), 0.1) is home
@@ -182,8 +182,8 @@
         for row, took_ms in zip(rows, (10.0, 10.0, 50.0), strict=True):
             row.pace.note(took_ms, 0.0)
 
-        assert weighted_loads(rows, 0.0)[rows[2].start] == 10.0
-        assert weighted_loads(rows, 0.0, off("slowness"))[rows[2].start] == 2.0
+        assert weighted_loads(rows, 0.0)[rows[2].incarnation_id] == 10.0
+        assert weighted_loads(rows, 0.0, off("slowness"))[rows[2].incarnation_id] == 2.0
 
     def test_without_suspects_a_failed_endpoint_still_gets_requests(self):
         rows = rows_of(3)
@@ -194,7 +194,7 @@
 
     def test_without_stall_a_silent_endpoint_still_gets_requests(self):
         rows = rows_of(3)
-        rows[0].waits["request"] = 0.0
+        rows[0].pending_since_s["request"] = 0.0
 
         assert rows[0] not in sound_rows(rows, 5.0)
         assert rows[0] in sound_rows(rows, 5.0, off("stall"))
@@ -214,7 +214,7 @@
         chosen = {
             PlainPlacement("a", random.Random(seed), off("zone_penalty"))
             .choose(rows, Demand(), 0.0)
-            .start
+            .incarnation_id
             for seed in range(20)
         }
 
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -141,7 +141,7 @@
         for number in range(count):
             crash = CRASHES[number]
             row = rows[number % len(rows)]
-            row.state.quarantine.note_crash(crash.digest, known(crash.start[0]))
+            row.state.quarantine.note_crash(crash.digest, known(crash.incarnation_id[0]))
         return owners
 
     def is_quarantined_by_all(self, world):
--- a/testing/test_records.py
+++ b/testing/test_records.py
@@ -98,4 +98,4 @@
         second = decode_endpoint("i-1", json.dumps({**fields, "born": 6}).encode())
 
         assert first.address == ("10.0.0.1", 8080)
-        assert not first.is_same_start(second)
+        assert not first.is_same_incarnation(second)
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -210,7 +210,7 @@
         anyio.run(share.step)
 
         ((_, message),) = self.link.sent
-        assert [(load.start[0], load.requests) for load in message.loads] == [("e2", 10)]
+        assert [(load.incarnation_id[0], load.requests) for load in message.loads] == [("e2", 10)]
 
     def test_number_of_messages_does_not_grow_with_the_number_of_peers(self):
         share = self.share(*(f"h{number}" for number in range(60)))
--- a/testing/test_warm_placement.py
+++ b/testing/test_warm_placement.py
@@ -33,7 +33,7 @@
     def test_entries_agree_on_a_home_without_communicating(self):
         rows = rows_of(5)
 
-        homes = {place(WarmPlacement(), rows, demand("chat"), 0.0).start for _ in range(4)}
+        homes = {place(WarmPlacement(), rows, demand("chat"), 0.0).incarnation_id for _ in range(4)}
 
         assert len(homes) == 1
 
@@ -41,7 +41,7 @@
         placement, rows = WarmPlacement(), rows_of(5)
 
         counts = collections.Counter(
-            place(placement, rows, demand(f"chat{n}"), 0.0).start for n in range(500)
+            place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(500)
         )
 
         assert len(counts) == 5
@@ -54,21 +54,31 @@
         although the engine that has it cached is idle.
         """
         placement, rows = WarmPlacement(), rows_of(4)
-        before = {n: place(placement, rows, demand(f"chat{n}"), 0.0).start for n in range(100)}
+        before = {
+            n: place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(100)
+        }
 
         rows.append(known("new"))
-        after = {n: place(placement, rows, demand(f"chat{n}"), 1.0).start for n in range(100)}
+        after = {
+            n: place(placement, rows, demand(f"chat{n}"), 1.0).incarnation_id for n in range(100)
+        }
 
         assert after == before
-        fresh = {place(placement, rows, demand(f"fresh{n}"), 1.0).start for n in range(100)}
+        fresh = {
+            place(placement, rows, demand(f"fresh{n}"), 1.0).incarnation_id for n in range(100)
+        }
         assert ("new", 1) in fresh
 
     def test_only_sessions_of_a_lost_endpoint_move(self):
         placement, rows = WarmPlacement(), rows_of(5)
-        before = {n: place(placement, rows, demand(f"chat{n}"), 0.0).start for n in range(100)}
-        lost = rows.pop(2).start
+        before = {
+            n: place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(100)
+        }
+        lost = rows.pop(2).incarnation_id
 
-        after = {n: place(placement, rows, demand(f"chat{n}"), 1.0).start for n in range(100)}
+        after = {
+            n: place(placement, rows, demand(f"chat{n}"), 1.0).incarnation_id for n in range(100)
+        }
 
         assert all(after[n] == before[n] for n in before if before[n] != lost)
 
@@ -91,11 +101,11 @@
         for _ in range(12):
             row = place(placement, rows, demand("hot"), 0.0)
             row.in_flight += 1
-            used.add(row.start)
+            used.add(row.incarnation_id)
         for row in rows:
             row.in_flight = 0
 
-        again = {place(placement, rows, demand("hot"), 5.0).start for _ in range(3)}
+        again = {place(placement, rows, demand("hot"), 5.0).incarnation_id for _ in range(3)}
 
         assert again <= used
 
@@ -174,7 +184,7 @@
 
     def test_endpoint_that_keeps_a_request_waiting_is_skipped(self):
         rows = rows_of(3)
-        rows[1].waits["call"] = 10.0
+        rows[1].pending_since_s["call"] = 10.0
 
         assert rows[1] in sound_rows(rows, 10.9)
         assert rows[1] not in sound_rows(rows, 11.1)
