--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -199,12 +199,12 @@
             endpoint.end_wait(call, boot_time_s())
         took_ms = (boot_time_s() - sent_s) * 1000
         if not admitted.route.streamed:
-            endpoint.pace.note(took_ms, boot_time_s())
+            endpoint.latency.note(took_ms, boot_time_s())
         if head is not None and head.status == 200:
             self._state.note_first(self._service, reading, took_ms)
         end = await self._handle_answer(call, head, endpoint, admitted)
         is_bad = end.outcome is not None or (head is not None and head.status >= 500)
-        endpoint.faults.note(is_bad, boot_time_s())
+        endpoint.error_rate.note(is_bad, boot_time_s())
         await self._update_quarantine(call, endpoint)
         return end
 
@@ -235,7 +235,7 @@
             endpoint.note_failure(boot_time_s())
             return AttemptEnd(Outcome.FAILED, "answer to another request")
         endpoint.note_answer()
-        relay = Relay(call, head, self._delivery, endpoint.pace)
+        relay = Relay(call, head, self._delivery, endpoint.latency)
         if admitted.route.streamed and head.status == 200:
             return await relay.stream()
         return await relay.hold(admitted.route.repeat)
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -7,7 +7,7 @@
 from beryljunction.gateway.delivery import Delivery
 from beryljunction.gateway.eventstream import EventSplitter
 from beryljunction.gateway.messages import Head
-from beryljunction.routing import Outcome, Pace, Repeat
+from beryljunction.routing import LatencyEstimate, Outcome, Repeat
 
 __all__ = ["AttemptEnd", "Relay"]
 
@@ -34,11 +34,13 @@
 class Relay:
     """Relays one endpoint's answer to a caller."""
 
-    def __init__(self, call: EndpointCall, head: Head, delivery: Delivery, pace: Pace) -> None:
+    def __init__(
+        self, call: EndpointCall, head: Head, delivery: Delivery, latency: LatencyEstimate
+    ) -> None:
         self._call = call
         self._head = head
         self._delivery = delivery
-        self._pace = pace
+        self._latency = latency
 
     async def hold(self, repeat: Repeat) -> AttemptEnd:
         """Buffer the answer, then relay it; a very large one is relayed as it arrives."""
@@ -77,7 +79,7 @@
         previous_s: float | None = None
         while (part := await self._call.part()) is not None:
             events = splitter.feed(part)
-            previous_s = self._record_pace(previous_s, len(events))
+            previous_s = self._record_latency(previous_s, len(events))
             await self._delivery.write_events(self._head, events)
             if splitter.is_overlong:
                 return AttemptEnd(Outcome.FAILED, "event exceeds the size limit")
@@ -86,11 +88,11 @@
         self._delivery.end(self._head)
         return AttemptEnd()
 
-    def _record_pace(self, previous_s: float | None, count: int) -> float | None:
+    def _record_latency(self, previous_s: float | None, count: int) -> float | None:
         """Record the time between events, but not that before the first one, which is prefill."""
         if not count:
             return previous_s
         now_s = boot_time_s()
         if previous_s is not None:
-            self._pace.note((now_s - previous_s) * 1000 / count, now_s)
+            self._latency.note((now_s - previous_s) * 1000 / count, now_s)
         return now_s
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -33,9 +33,9 @@
     StoreContact,
     WarmPlacement,
     ZoneChange,
+    healthy_endpoints,
     hear_loads,
     retry_after_s,
-    sound_rows,
 )
 
 __all__ = ["EntryState"]
@@ -168,9 +168,9 @@
         now_s = boot_time_s()
         usable = [row for row in self.registry.usable(service, now_s) if row not in tried]
         allowed = self.cold.allowed(usable, self._known_service(service), now_s)
-        sound = sound_rows(allowed, now_s, self.mechanisms)
+        healthy = healthy_endpoints(allowed, now_s, self.mechanisms)
         closed = self.registry.evacuated(service)
-        return self._placement(service).choose(sound, attrs.evolve(demand, closed=closed), now_s)
+        return self._placement(service).choose(healthy, attrs.evolve(demand, closed=closed), now_s)
 
     def may_send(self, service: str, endpoint: KnownEndpoint) -> str:
         """Return why a request may not go to an endpoint now; empty if it may."""
@@ -215,8 +215,8 @@
             return None
         now_s = boot_time_s()
         usable = self.registry.usable(service, now_s)
-        sound = sound_rows(usable, now_s, self.mechanisms)
-        rows = [row for row in sound if row not in tried]
+        healthy = healthy_endpoints(usable, now_s, self.mechanisms)
+        rows = [row for row in healthy if row not in tried]
         opens_in_s = 0.0 if usable else self.registry.opens_in_s(service, now_s)
         return retry_after_s(rows, left_s, self.random, now_s, opens_in_s)
 
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -20,7 +20,12 @@
     Service,
     WeightedService,
 )
-from beryljunction.routing.knownendpoint import EndpointRecord, KnownEndpoint, LoadReport, Pace
+from beryljunction.routing.knownendpoint import (
+    EndpointRecord,
+    KnownEndpoint,
+    LatencyEstimate,
+    LoadReport,
+)
 from beryljunction.routing.lease import SettingsLease
 from beryljunction.routing.loadnews import LoadNews, hear_loads, loads_to_tell
 from beryljunction.routing.mechanisms import ALL_ON, Mechanism, Mechanisms, mechanisms_of
@@ -34,7 +39,7 @@
 )
 from beryljunction.routing.reading import ReadingPace
 from beryljunction.routing.refusing import retry_after_s
-from beryljunction.routing.soundness import sound_rows, weighted_loads
+from beryljunction.routing.soundness import healthy_endpoints, weighted_loads
 from beryljunction.routing.warm_placement import WarmPlacement
 from beryljunction.routing.warmth import PromptParts, WarmthMap
 
@@ -67,7 +72,7 @@
     "MovedSession",
     "MovedSessions",
     "Outcome",
-    "Pace",
+    "LatencyEstimate",
     "Placement",
     "PeerTable",
     "PlainPlacement",
@@ -94,6 +99,6 @@
     "owners_of",
     "request_digest",
     "retry_after_s",
-    "sound_rows",
+    "healthy_endpoints",
     "weighted_loads",
 ]
--- a/src/beryljunction/routing/knownendpoint.py
+++ b/src/beryljunction/routing/knownendpoint.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-__all__ = ["EndpointRecord", "KnownEndpoint", "LoadReport", "Pace"]
+__all__ = ["EndpointRecord", "KnownEndpoint", "LoadReport", "LatencyEstimate"]
 
 # Requests last a second or two, so a reported load is soon outdated. Over this time, the part of it
 # that other entries caused decays to zero.
@@ -13,14 +13,14 @@
 # Age of a report at which the requests that came after it are estimated at the mean load.
 _REPORT_OUTDATED_S = 1.0
 # Weight of a new sample of an endpoint's pace; about the last ten samples count.
-_PACE_WEIGHT = 0.1
+_LATENCY_WEIGHT = 0.1
 # A pace without new samples for this long is ignored, so that an endpoint that was slow gets
 # requests again and can show whether it still is.
-_PACE_TTL_S = 3.0
+_LATENCY_TTL_S = 3.0
 # Weight of a new outcome in the share of bad ones; about the last four outcomes count.
-_FAULT_WEIGHT = 0.25
+_ERROR_WEIGHT = 0.25
 # Half-life of that share without new outcomes, so that a failing endpoint is tried again.
-_FAULT_HALF_LIFE_S = 2.0
+_ERROR_HALF_LIFE_S = 2.0
 # An endpoint that keeps a request of this process waiting for longer hangs, or is processing
 # several of the longest prompts; other requests are better sent elsewhere until it answers.
 _STALL_S = 1.0
@@ -74,7 +74,7 @@
 
 
 @attrs.define
-class Pace:
+class LatencyEstimate:
     """Smoothed time that an endpoint takes for one unit of work.
 
     A unit is one event of a stream, or a whole call of a plain service; both are comparable among
@@ -86,19 +86,19 @@
 
     def note(self, took_ms: float, now_s: float) -> None:
         """Add a sample."""
-        if now_s - self.at_s > _PACE_TTL_S:
+        if now_s - self.at_s > _LATENCY_TTL_S:
             self.mean_ms = took_ms
         else:
-            self.mean_ms += _PACE_WEIGHT * (took_ms - self.mean_ms)
+            self.mean_ms += _LATENCY_WEIGHT * (took_ms - self.mean_ms)
         self.at_s = now_s
 
     def is_fresh(self, now_s: float) -> bool:
         """Return whether the last sample is recent."""
-        return now_s - self.at_s <= _PACE_TTL_S
+        return now_s - self.at_s <= _LATENCY_TTL_S
 
 
 @attrs.define
-class FaultShare:
+class ErrorRate:
     """Share of an endpoint's outcomes that were bad: errors, refusals, lost or missing answers."""
 
     _ratio: float = 0.0
@@ -107,14 +107,14 @@
     def note(self, is_bad: bool, now_s: float) -> None:
         """Add an outcome."""
         ratio = self.at(now_s)
-        self._ratio = ratio + _FAULT_WEIGHT * (float(is_bad) - ratio)
+        self._ratio = ratio + _ERROR_WEIGHT * (float(is_bad) - ratio)
         self._at_s = now_s
 
     def at(self, now_s: float) -> float:
         """Return the share at this time."""
         if self._ratio == 0.0:
             return 0.0
-        return float(self._ratio * 0.5 ** ((now_s - self._at_s) / _FAULT_HALF_LIFE_S))
+        return float(self._ratio * 0.5 ** ((now_s - self._at_s) / _ERROR_HALF_LIFE_S))
 
 
 @attrs.define(eq=False)
@@ -148,8 +148,8 @@
     cold_until_s: float = -math.inf
     may_be_cold_s: float = -math.inf
     cold_sends_s: collections.deque[float] = attrs.field(factory=collections.deque)
-    pace: Pace = attrs.field(factory=Pace)
-    faults: FaultShare = attrs.field(factory=FaultShare)
+    latency: LatencyEstimate = attrs.field(factory=LatencyEstimate)
+    error_rate: ErrorRate = attrs.field(factory=ErrorRate)
     pending_since_s: dict[object, float] = attrs.field(factory=dict)
     failures: int = 0
     suspect_until_s: float = -math.inf
@@ -232,7 +232,7 @@
     def end_wait(self, request: object, now_s: float) -> None:
         """Record that a request no longer waits; too long a wait counts as a bad outcome."""
         if now_s - self.pending_since_s.pop(request) > _STALL_S:
-            self.faults.note(is_bad=True, now_s=now_s)
+            self.error_rate.note(is_bad=True, now_s=now_s)
 
     def is_stalled(self, now_s: float) -> bool:
         """Return whether a request has been waiting for its answer for too long."""
--- a/src/beryljunction/routing/soundness.py
+++ b/src/beryljunction/routing/soundness.py
@@ -5,10 +5,10 @@
 from beryljunction.routing.knownendpoint import KnownEndpoint
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
 
-__all__ = ["sound_rows", "weighted_loads"]
+__all__ = ["healthy_endpoints", "weighted_loads"]
 
 # Endpoints with a measured pace that are needed for a meaningful median.
-_MIN_PACES = 3
+_MIN_LATENCIES = 3
 # Healthy workers of one service differ by a factor of up to 1.3; from the lower factor on, one
 # counts as slow. The upper one keeps an endpoint with one stalled stream from being excluded for
 # good.
@@ -16,8 +16,8 @@
 _MAX_SLOWNESS = 6.0
 # Share of bad outcomes from which an endpoint is skipped: two of about four. Healthy plain
 # endpoints answer up to one request in seven with an error of the application.
-_MIN_FAULT_SHARE = 0.4
-_FAULT_SHARE_FACTOR = 2.5
+_MIN_ERROR_RATE = 0.4
+_ERROR_RATE_FACTOR = 2.5
 
 
 def weighted_loads(
@@ -31,19 +31,21 @@
     """
     if not mechanisms.slowness:
         return {row.incarnation_id: row.load(now_s) for row in rows}
-    paces = [row.pace.mean_ms for row in rows if row.pace.is_fresh(now_s)]
-    median_ms = sorted(paces)[len(paces) // 2] if len(paces) >= _MIN_PACES else 0.0
+    latencies_ms = [row.latency.mean_ms for row in rows if row.latency.is_fresh(now_s)]
+    median_ms = (
+        sorted(latencies_ms)[len(latencies_ms) // 2] if len(latencies_ms) >= _MIN_LATENCIES else 0.0
+    )
     return {row.incarnation_id: row.load(now_s) * _slowness(row, median_ms, now_s) for row in rows}
 
 
 def _slowness(row: KnownEndpoint, median_ms: float, now_s: float) -> float:
-    if median_ms <= 0.0 or not row.pace.is_fresh(now_s):
+    if median_ms <= 0.0 or not row.latency.is_fresh(now_s):
         return 1.0
-    ratio = row.pace.mean_ms / median_ms
+    ratio = row.latency.mean_ms / median_ms
     return min(_MAX_SLOWNESS, ratio) if ratio >= _MIN_SLOWNESS else 1.0
 
 
-def sound_rows(
+def healthy_endpoints(
     rows: Sequence[KnownEndpoint], now_s: float, mechanisms: Mechanisms = ALL_ON
 ) -> list[KnownEndpoint]:
     """Return the endpoints that look healthy; all of them if none does.
@@ -53,18 +55,18 @@
     that may run only once are lost. It is skipped when its share of bad outcomes is several times
     that of its peers; if all fail alike, none is skipped.
     """
-    sound = list(rows)
+    healthy = list(rows)
     if mechanisms.suspects:
-        sound = [row for row in sound if not row.is_suspect(now_s)]
+        healthy = [row for row in healthy if not row.is_suspect(now_s)]
     if mechanisms.stall:
-        sound = [row for row in sound if not row.is_stalled(now_s)]
+        healthy = [row for row in healthy if not row.is_stalled(now_s)]
     if mechanisms.fault_shares:
-        limit = _fault_limit(rows, now_s)
-        sound = [row for row in sound if row.faults.at(now_s) < limit]
-    return sound or list(rows)
+        limit = _max_error_rate(rows, now_s)
+        healthy = [row for row in healthy if row.error_rate.at(now_s) < limit]
+    return healthy or list(rows)
 
 
-def _fault_limit(rows: Sequence[KnownEndpoint], now_s: float) -> float:
-    shares = sorted(row.faults.at(now_s) for row in rows)
-    median = shares[len(shares) // 2] if shares else 0.0
-    return max(_MIN_FAULT_SHARE, _FAULT_SHARE_FACTOR * median)
+def _max_error_rate(rows: Sequence[KnownEndpoint], now_s: float) -> float:
+    rates = sorted(row.error_rate.at(now_s) for row in rows)
+    median = rates[len(rates) // 2] if rates else 0.0
+    return max(_MIN_ERROR_RATE, _ERROR_RATE_FACTOR * median)
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -20,8 +20,8 @@
     RetryShare,
     Verdict,
     WarmPlacement,
+    healthy_endpoints,
     mechanisms_of,
-    sound_rows,
     weighted_loads,
 )
 from routing_fakes import known
@@ -176,11 +176,11 @@
             assert (placement.pace("engine").tokens_per_ms > before * 2) == is_learned
 
 
-class TestSoundness:
+class TestHealth:
     def test_without_slowness_an_endpoint_counts_by_its_requests(self):
         rows = rows_of(3, in_flight=2)
         for row, took_ms in zip(rows, (10.0, 10.0, 50.0), strict=True):
-            row.pace.note(took_ms, 0.0)
+            row.latency.note(took_ms, 0.0)
 
         assert weighted_loads(rows, 0.0)[rows[2].incarnation_id] == 10.0
         assert weighted_loads(rows, 0.0, off("slowness"))[rows[2].incarnation_id] == 2.0
@@ -189,23 +189,23 @@
         rows = rows_of(3)
         rows[0].note_failure(0.0)
 
-        assert rows[0] not in sound_rows(rows, 0.1)
-        assert rows[0] in sound_rows(rows, 0.1, off("suspects"))
+        assert rows[0] not in healthy_endpoints(rows, 0.1)
+        assert rows[0] in healthy_endpoints(rows, 0.1, off("suspects"))
 
     def test_without_stall_a_silent_endpoint_still_gets_requests(self):
         rows = rows_of(3)
         rows[0].pending_since_s["request"] = 0.0
 
-        assert rows[0] not in sound_rows(rows, 5.0)
-        assert rows[0] in sound_rows(rows, 5.0, off("stall"))
+        assert rows[0] not in healthy_endpoints(rows, 5.0)
+        assert rows[0] in healthy_endpoints(rows, 5.0, off("stall"))
 
     def test_without_fault_shares_a_failing_endpoint_still_gets_requests(self):
         rows = rows_of(3)
         for _ in range(8):
-            rows[0].faults.note(True, 0.0)
+            rows[0].error_rate.note(True, 0.0)
 
-        assert rows[0] not in sound_rows(rows, 0.1)
-        assert rows[0] in sound_rows(rows, 0.1, off("fault_shares"))
+        assert rows[0] not in healthy_endpoints(rows, 0.1)
+        assert rows[0] in healthy_endpoints(rows, 0.1, off("fault_shares"))
 
 
 class TestPlainCalls:
--- a/testing/test_warm_placement.py
+++ b/testing/test_warm_placement.py
@@ -9,7 +9,7 @@
     PlainPlacement,
     PromptParts,
     WarmPlacement,
-    sound_rows,
+    healthy_endpoints,
 )
 from routing_fakes import known
 
@@ -153,7 +153,7 @@
         assert chosen == {"a", "b", "c"}
 
 
-class TestSoundRows:
+class TestHealthyEndpoints:
     def test_endpoint_that_fails_more_than_its_peers_is_skipped(self):
         """Guards against preferring an endpoint that fails half of its requests but looks healthy.
 
@@ -163,31 +163,31 @@
         rows = rows_of(4)
         for _ in range(8):
             for row in rows:
-                row.faults.note(is_bad=row is rows[0], now_s=0.0)
+                row.error_rate.note(is_bad=row is rows[0], now_s=0.0)
 
-        assert sound_rows(rows, 0.1) == rows[1:]
+        assert healthy_endpoints(rows, 0.1) == rows[1:]
 
     def test_failing_endpoint_is_tried_again_after_a_while(self):
         rows = rows_of(4)
         for _ in range(8):
-            rows[0].faults.note(is_bad=True, now_s=0.0)
+            rows[0].error_rate.note(is_bad=True, now_s=0.0)
 
-        assert rows[0] in sound_rows(rows, 4.0)
+        assert rows[0] in healthy_endpoints(rows, 4.0)
 
     def test_no_endpoint_is_skipped_if_all_fail_alike(self):
         rows = rows_of(4)
         for _ in range(8):
             for row in rows:
-                row.faults.note(is_bad=True, now_s=0.0)
+                row.error_rate.note(is_bad=True, now_s=0.0)
 
-        assert sound_rows(rows, 0.1) == rows
+        assert healthy_endpoints(rows, 0.1) == rows
 
     def test_endpoint_that_keeps_a_request_waiting_is_skipped(self):
         rows = rows_of(3)
         rows[1].pending_since_s["call"] = 10.0
 
-        assert rows[1] in sound_rows(rows, 10.9)
-        assert rows[1] not in sound_rows(rows, 11.1)
+        assert rows[1] in healthy_endpoints(rows, 10.9)
+        assert rows[1] not in healthy_endpoints(rows, 11.1)
 
 
 class TestClosedEndpoints:
