--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -25,11 +25,11 @@
 from beryljunction.routing import (
     Admitted,
     AttemptPlan,
-    Demand,
     Denial,
     DenialReason,
     KnownEndpoint,
     Outcome,
+    PlacementRequest,
     PromptParts,
     Verdict,
     admit,
@@ -80,7 +80,7 @@
         self._deadline_s = self._request.arrived_s + limit_ms / 1000
         self._service = route.service_for(self._state.random.random())
         self._log.digest = self._digest_for(admitted)
-        self._demand = Demand(self._shared_parts())
+        self._placement_request = PlacementRequest(self._shared_parts())
         share = self._state.share(self._service)
         share.count_request(boot_time_s())
         may_send_again = self._state.mechanisms.second_sends
@@ -114,7 +114,7 @@
     async def _try_endpoints(self, plan: AttemptPlan) -> None:
         """Try endpoints in turn until one answers or no further attempt is allowed."""
         while not self._end_if_quarantined(plan):
-            endpoint = self._state.choose(self._service, self._demand, self._tried)
+            endpoint = self._state.choose(self._service, self._placement_request, self._tried)
             if endpoint is None or self._remaining_s() < _MIN_REMAINING_S:
                 reason = self._state.why_none(self._service) if endpoint is None else "no_time"
                 self._give_up(plan.give_up(), reason)
@@ -177,31 +177,31 @@
         if not plan.before_send(boot_time_s()):
             self._give_up(plan.give_up(), "retry_budget")
             return AttemptEnd()
-        reading = self._state.reading(self._service, endpoint, self._demand)
+        prefill = self._state.reading(self._service, endpoint, self._placement_request)
         self._state.note_send(self._service, endpoint)
-        call.send(self._build_message(endpoint, admitted, reading.source))
+        call.send(self._build_message(endpoint, admitted, prefill.source))
         self._log.sent(
             endpoint,
             admitted.route,
             admitted.account,
-            self._demand,
-            reading,
+            self._placement_request,
+            prefill,
             service=self._service,
             attempt=plan.sends,
             left_ms=int(self._remaining_s() * 1000),
         )
         sent_s = endpoint.pending_since_s[call] = boot_time_s()
-        endpoint.prefill_tokens += reading.unread_tokens
+        endpoint.prefill_tokens += prefill.uncached_tokens
         try:
             head = await call.head()
         finally:
-            endpoint.prefill_tokens -= reading.unread_tokens
+            endpoint.prefill_tokens -= prefill.uncached_tokens
             endpoint.end_wait(call, boot_time_s())
         took_ms = (boot_time_s() - sent_s) * 1000
         if not admitted.route.streamed:
             endpoint.latency.note(took_ms, boot_time_s())
         if head is not None and head.status == 200:
-            self._state.note_first(self._service, reading, took_ms)
+            self._state.note_first(self._service, prefill, took_ms)
         end = await self._handle_answer(call, head, endpoint, admitted)
         is_bad = end.outcome is not None or (head is not None and head.status >= 500)
         endpoint.error_rate.note(is_bad, boot_time_s())
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -5,7 +5,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.delivery import Delivery
 from beryljunction.gateway.state import EntryState
-from beryljunction.routing import Account, Demand, KnownEndpoint, Reading, Route
+from beryljunction.routing import Account, KnownEndpoint, PlacementRequest, PrefillPlan, Route
 
 __all__ = ["ExchangeLog"]
 
@@ -40,12 +40,12 @@
         endpoint: KnownEndpoint,
         route: Route,
         account: Account | None,
-        demand: Demand,
-        reading: Reading,
+        placement_request: PlacementRequest,
+        prefill: PrefillPlan,
         **fields: Any,
     ) -> None:
         """Write that the request was sent to an endpoint, with the values behind that choice."""
-        parts = demand.parts.ids
+        parts = placement_request.parts.ids
         known = self._state.endpoints_known
         self.write(
             "sent",
@@ -58,8 +58,8 @@
             load=round(endpoint.load(boot_time_s()), 1),
             session=parts[-1] if parts else "",
             reading=endpoint.prefill_tokens,
-            unread=reading.unread_tokens,
-            fetch_from=reading.source.record.endpoint_id if reading.source is not None else "",
+            unread=prefill.uncached_tokens,
+            fetch_from=prefill.source.record.endpoint_id if prefill.source is not None else "",
             **fields,
         )
 
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -12,10 +12,10 @@
 from beryljunction.platform import HostBounds, HostSettings
 from beryljunction.routing import (
     AgeBound,
+    CacheAwarePlacement,
     ColdLimit,
     ColdShare,
     Confirmation,
-    Demand,
     EndpointRegistry,
     Evacuations,
     FanOut,
@@ -25,13 +25,13 @@
     MovedSession,
     MovedSessions,
     Placement,
+    PlacementRequest,
     PlainPlacement,
-    Reading,
+    PrefillPlan,
     RetryShare,
     Service,
     SettingsLease,
     StoreContact,
-    WarmPlacement,
     ZoneChange,
     healthy_endpoints,
     hear_loads,
@@ -83,7 +83,7 @@
         self.news = Signal()
         self.random = random.Random()
         mechanisms = self.mechanisms = host.mechanisms
-        self._warm_placement = WarmPlacement(mechanisms)
+        self._warm_placement = CacheAwarePlacement(mechanisms)
         self._plain_placement = PlainPlacement(host.availability_zone, self.random, mechanisms)
         self._retry_shares: dict[str, RetryShare] = {}
         self._max_entries_seen = 1
@@ -162,15 +162,17 @@
         return sum(share.left for share in self._retry_shares.values())
 
     def choose(
-        self, service: str, demand: Demand, tried: set[KnownEndpoint]
+        self, service: str, request: PlacementRequest, tried: set[KnownEndpoint]
     ) -> KnownEndpoint | None:
         """Return the endpoint for a request; healthy ones are preferred to suspect ones."""
         now_s = boot_time_s()
         usable = [row for row in self.registry.usable(service, now_s) if row not in tried]
         allowed = self.cold.allowed(usable, self._known_service(service), now_s)
         healthy = healthy_endpoints(allowed, now_s, self.mechanisms)
-        closed = self.registry.evacuated(service)
-        return self._placement(service).choose(healthy, attrs.evolve(demand, closed=closed), now_s)
+        excluded = self.registry.evacuated(service)
+        return self._placement(service).choose(
+            healthy, attrs.evolve(request, excluded_endpoints=excluded), now_s
+        )
 
     def may_send(self, service: str, endpoint: KnownEndpoint) -> str:
         """Return why a request may not go to an endpoint now; empty if it may."""
@@ -220,18 +222,20 @@
         opens_in_s = 0.0 if usable else self.registry.opens_in_s(service, now_s)
         return retry_after_s(rows, left_s, self.random, now_s, opens_in_s)
 
-    def reading(self, service: str, chosen: KnownEndpoint, demand: Demand) -> Reading:
+    def reading(
+        self, service: str, chosen: KnownEndpoint, request: PlacementRequest
+    ) -> PrefillPlan:
         """Return what the chosen endpoint has to prefill, and where it may fetch KV cache from."""
         now_s = boot_time_s()
         rows = self.registry.reachable(service, now_s)
-        reading = self._placement(service).reading(rows, chosen, demand, now_s)
+        prefill = self._placement(service).plan_prefill(rows, chosen, request, now_s)
         known = self._known_service(service)
         can_fetch = known is not None and known.can_fetch
-        return reading if can_fetch else attrs.evolve(reading, source=None)
+        return prefill if can_fetch else attrs.evolve(prefill, source=None)
 
-    def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
+    def note_first(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
         """Record how long an endpoint took to send the first byte of its response."""
-        self._placement(service).note_first(service, reading, took_ms)
+        self._placement(service).note_first_byte(service, prefill, took_ms)
 
     @property
     def moved(self) -> MovedSessions:
@@ -240,13 +244,13 @@
 
     def joined(self, endpoint_id: str) -> None:
         """Tell the placement that an endpoint has joined."""
-        self._warm_placement.joined(endpoint_id, boot_time_s())
+        self._warm_placement.announce_outranked_sessions(endpoint_id, boot_time_s())
 
     def learn(self, sessions: Iterable[MovedSession], loads: Iterable[LoadNews]) -> None:
         """Apply another entry's session placements and its reports of overloaded endpoints."""
         now_s = boot_time_s()
         for session in sessions:
-            self._warm_placement.learn(session, now_s)
+            self._warm_placement.note_moved_session(session, now_s)
         if self.mechanisms.load_news:
             hear_loads(self.registry.rows, loads, now_s)
 
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -32,16 +32,16 @@
 from beryljunction.routing.moved import MovedSession, MovedSessions
 from beryljunction.routing.peers import Address, PeerTable, needs_peers
 from beryljunction.routing.placement import (
-    Demand,
     Placement,
+    PlacementRequest,
     PlainPlacement,
-    Reading,
+    PrefillPlan,
 )
-from beryljunction.routing.reading import ReadingPace
+from beryljunction.routing.reading import PrefillRate
 from beryljunction.routing.refusing import retry_after_s
 from beryljunction.routing.soundness import healthy_endpoints, weighted_loads
-from beryljunction.routing.warm_placement import WarmPlacement
-from beryljunction.routing.warmth import PromptParts, WarmthMap
+from beryljunction.routing.warm_placement import CacheAwarePlacement
+from beryljunction.routing.warmth import PrefixDirectory, PromptParts
 
 __all__ = [
     "ALL_ON",
@@ -56,7 +56,7 @@
     "Confirmation",
     "Crash",
     "CrashTable",
-    "Demand",
+    "PlacementRequest",
     "Denial",
     "DenialReason",
     "EndpointRecord",
@@ -77,8 +77,8 @@
     "PeerTable",
     "PlainPlacement",
     "PromptParts",
-    "Reading",
-    "ReadingPace",
+    "PrefillPlan",
+    "PrefillRate",
     "Repeat",
     "RetryShare",
     "Route",
@@ -87,8 +87,8 @@
     "SettingsLease",
     "StoreContact",
     "Verdict",
-    "WarmPlacement",
-    "WarmthMap",
+    "CacheAwarePlacement",
+    "PrefixDirectory",
     "WeightedService",
     "ZoneChange",
     "admit",
--- a/src/beryljunction/routing/placement.py
+++ b/src/beryljunction/routing/placement.py
@@ -11,7 +11,7 @@
 from beryljunction.routing.soundness import weighted_loads
 from beryljunction.routing.warmth import PromptParts
 
-__all__ = ["Demand", "Placement", "PlainPlacement", "Reading"]
+__all__ = ["PlacementRequest", "Placement", "PlainPlacement", "PrefillPlan"]
 
 # Added to the load of a plain endpoint in another availability zone, as a share of its slots: the
 # network path costs 0.5 to 1.4 ms of about 45 ms of work.
@@ -19,29 +19,29 @@
 
 
 @attrs.frozen
-class Demand:
+class PlacementRequest:
     """What placement knows of a request.
 
     Attributes:
         parts: Parts of its prompt.
-        closed: Endpoints of its service that must not get it; they count in the mean load.
+        excluded_endpoints: Endpoints of its service that must not get it; they count in the mean load.
     """
 
     parts: PromptParts = PromptParts()
-    closed: Sequence[KnownEndpoint] = ()
+    excluded_endpoints: Sequence[KnownEndpoint] = ()
 
 
 @attrs.frozen
-class Reading:
+class PrefillPlan:
     """How an endpoint is to prefill a prompt before its first token.
 
     Attributes:
         source: Endpoint to fetch cached parts from; None for none.
-        unread_tokens: Tokens that no endpoint is known to have cached, and the request's own.
+        uncached_tokens: Tokens that no endpoint is known to have cached, and the request's own.
     """
 
     source: KnownEndpoint | None = None
-    unread_tokens: int = 0
+    uncached_tokens: int = 0
 
 
 class Placement(abc.ABC):
@@ -49,30 +49,34 @@
 
     @abc.abstractmethod
     def choose(
-        self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
+        self, rows: Sequence[KnownEndpoint], request: PlacementRequest, now_s: float
     ) -> KnownEndpoint | None:
         """Return the endpoint that is to get the request; None if there is none."""
 
-    def reading(
-        self, rows: Sequence[KnownEndpoint], chosen: KnownEndpoint, demand: Demand, now_s: float
-    ) -> Reading:
+    def plan_prefill(
+        self,
+        rows: Sequence[KnownEndpoint],
+        chosen: KnownEndpoint,
+        request: PlacementRequest,
+        now_s: float,
+    ) -> PrefillPlan:
         """Return how the chosen endpoint is to prefill; called just before a request is sent.
 
         Args:
             rows: Endpoints that can be reached, including leaving ones.
             chosen: The endpoint that gets the request.
-            demand: What is known of the request.
+            request: What is known of the request.
             now_s: Time on the clock of the endpoints' loads.
         """
-        return Reading()
+        return PrefillPlan()
 
     @abc.abstractmethod
-    def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
+    def note_first_byte(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
         """Record how long an endpoint took to the first byte of its answer.
 
         Args:
             service: The endpoint's service.
-            reading: How it was to prefill the prompt.
+            prefill: How it was to prefill the prompt.
             took_ms: Time since the request was sent.
         """
 
@@ -96,7 +100,7 @@
         self._mechanisms = mechanisms
 
     def choose(
-        self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
+        self, rows: Sequence[KnownEndpoint], request: PlacementRequest, now_s: float
     ) -> KnownEndpoint | None:
         """Return the least loaded endpoint."""
         loads = weighted_loads(rows, now_s, self._mechanisms)
@@ -104,7 +108,7 @@
             rows, key=lambda row: self._load_share(row, loads[row.incarnation_id]), default=None
         )
 
-    def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
+    def note_first_byte(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
         """Do nothing: plain calls have no long prompt."""
 
     def _load_share(self, row: KnownEndpoint, load: float) -> tuple[float, float]:
--- a/src/beryljunction/routing/reading.py
+++ b/src/beryljunction/routing/reading.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-__all__ = ["ReadingPace"]
+__all__ = ["PrefillRate"]
 
 # Prior in prompt tokens per millisecond: the rate of the slowest known engines.
 _PRIOR_TOKENS_PER_MS = 38.0
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class ReadingPace:
+class PrefillRate:
     """Slope of the time to the first token over the number of uncached prompt tokens.
 
     Prompts have hundreds to thousands of tokens, most of them cached, and the type of the engines
--- a/src/beryljunction/routing/warm_placement.py
+++ b/src/beryljunction/routing/warm_placement.py
@@ -7,13 +7,13 @@
 from beryljunction.routing.knownendpoint import KnownEndpoint
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
 from beryljunction.routing.moved import MovedSession, MovedSessions
-from beryljunction.routing.placement import Demand, Placement, Reading
-from beryljunction.routing.reading import ReadingPace
+from beryljunction.routing.placement import Placement, PlacementRequest, PrefillPlan
+from beryljunction.routing.reading import PrefillRate
 from beryljunction.routing.rendezvous import rendezvous_rank
 from beryljunction.routing.soundness import weighted_loads
-from beryljunction.routing.warmth import PromptParts, WarmthMap
+from beryljunction.routing.warmth import PrefixDirectory, PromptParts
 
-__all__ = ["WarmPlacement"]
+__all__ = ["CacheAwarePlacement"]
 
 # An endpoint above this multiple of the mean load, plus an allowance for small numbers, is skipped.
 # This is below the fleet's bound of 2 x mean + 3 and leaves room for requests that other entries
@@ -35,7 +35,7 @@
 _SETTLED_S = 15.0
 
 
-class WarmPlacement(Placement):
+class CacheAwarePlacement(Placement):
     """Chooses the endpoint that has the session's prefix cached, unless it is overloaded.
 
     Sessions with thousands of prompt tokens return every few seconds. Recomputing a prefix of 6,000
@@ -51,83 +51,89 @@
 
     def __init__(self, mechanisms: Mechanisms = ALL_ON) -> None:
         self._mechanisms = mechanisms
-        self._warmth = WarmthMap()
+        self._prefixes = PrefixDirectory()
         self.moved = MovedSessions()
-        self._paces: dict[str, ReadingPace] = {}
+        self._prefill_rates: dict[str, PrefillRate] = {}
         self._placed: collections.OrderedDict[str, tuple[MovedSession, float]]
         self._placed = collections.OrderedDict()
 
     def choose(
-        self, rows: Sequence[KnownEndpoint], demand: Demand, now_s: float
+        self, rows: Sequence[KnownEndpoint], request: PlacementRequest, now_s: float
     ) -> KnownEndpoint | None:
         """Return the first endpoint under the load bound, those with the prefix cached first."""
         if not rows:
             return None
         loads = weighted_loads(rows, now_s, self._mechanisms)
-        order = self._order(rows, demand.parts, loads, now_s)
-        bound = _load_bound(loads.values(), demand.closed, now_s)
+        order = self._order(rows, request.parts, loads, now_s)
+        bound = _load_bound(loads.values(), request.excluded_endpoints, now_s)
         # While part of the service is evacuated, the bound is so close to the mean that a margin
         # would send most sessions to their second endpoints, which would fill up unnoticed.
-        has_margin = self._mechanisms.bound_margin and not demand.closed
+        has_margin = self._mechanisms.bound_margin and not request.excluded_endpoints
         open_rows = iter(self._under_bound(order, loads, bound, has_margin, now_s))
         first, second = next(open_rows, None), next(open_rows, None)
-        if first is None or not demand.parts.ids:
+        if first is None or not request.parts.ids:
             return min(rows, key=lambda row: loads[row.incarnation_id])
-        pace = self.pace(first.record.service)
+        rate = self.prefill_rate(first.record.service)
         if not self._mechanisms.patience:
             return first
-        if second and _queue_ms(first, pace) - _queue_ms(second, pace) > _MAX_EXTRA_QUEUE_MS:
+        if second and _queue_ms(first, rate) - _queue_ms(second, rate) > _MAX_EXTRA_QUEUE_MS:
             return second
         return first
 
-    def pace(self, service: str) -> ReadingPace:
+    def prefill_rate(self, service: str) -> PrefillRate:
         """Return the learned prefill rate of a service's engines."""
         if not self._mechanisms.learned_pace:
-            return ReadingPace()
-        pace = self._paces.get(service)
-        if pace is None:
-            pace = self._paces[service] = ReadingPace()
-        return pace
-
-    def reading(
-        self, rows: Sequence[KnownEndpoint], chosen: KnownEndpoint, demand: Demand, now_s: float
-    ) -> Reading:
+            return PrefillRate()
+        rate = self._prefill_rates.get(service)
+        if rate is None:
+            rate = self._prefill_rates[service] = PrefillRate()
+        return rate
+
+    def plan_prefill(
+        self,
+        rows: Sequence[KnownEndpoint],
+        chosen: KnownEndpoint,
+        request: PlacementRequest,
+        now_s: float,
+    ) -> PrefillPlan:
         """Return where to fetch cached parts from, and how many tokens no endpoint has cached.
 
         A session that this entry has not seen may have been placed by another one, most likely at
         the first endpoint in rendezvous order. If that one has nothing cached, the attempt costs
         only the set-up of a fetch.
         """
-        parts = demand.parts
-        here = self._warmth.kept_tokens(chosen.incarnation_id, parts, now_s)
+        parts = request.parts
+        here = self._prefixes.cached_tokens(chosen.incarnation_id, parts, now_s)
         total = parts.shared_tokens
         others = [row for row in rows if row.incarnation_id != chosen.incarnation_id]
-        source, kept = self._warmth.best_source(others, parts, now_s)
-        known = max(kept, here if len(others) < len(rows) else 0)
-        unread_tokens = total - known + parts.own_tokens
+        source, cached = self._prefixes.best_source(others, parts, now_s)
+        known = max(cached, here if len(others) < len(rows) else 0)
+        uncached_tokens = total - known + parts.own_tokens
         if self._mechanisms.warmth:
-            self._warmth.note(chosen.incarnation_id, parts.ids, now_s)
+            self._prefixes.note(chosen.incarnation_id, parts.ids, now_s)
         self._note_placed(rows, chosen, parts, now_s)
         if not self._mechanisms.fetch:
-            return Reading(None, unread_tokens)
-        if self._mechanisms.home and max(here, kept) < total and others:
+            return PrefillPlan(None, uncached_tokens)
+        if self._mechanisms.home and max(here, cached) < total and others:
             holder = _likely_holder(others, parts, now_s)
-            if holder is not None and (kept <= here or _ranks_before(holder, chosen, parts, now_s)):
-                source, kept = holder, total
-        is_worth_it = kept - here >= _MIN_FETCHED_TOKENS
-        return Reading(source if is_worth_it else None, unread_tokens)
+            if holder is not None and (
+                cached <= here or _ranks_before(holder, chosen, parts, now_s)
+            ):
+                source, cached = holder, total
+        is_worth_it = cached - here >= _MIN_FETCHED_TOKENS
+        return PrefillPlan(source if is_worth_it else None, uncached_tokens)
 
-    def note_first(self, service: str, reading: Reading, took_ms: float) -> None:
+    def note_first_byte(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
         """Add a sample of the prefill rate, unless part of the prompt was fetched."""
-        if reading.source is None:
-            self.pace(service).note(reading.unread_tokens, took_ms)
+        if prefill.source is None:
+            self.prefill_rate(service).note(prefill.uncached_tokens, took_ms)
 
-    def learn(self, session: MovedSession, now_s: float) -> None:
+    def note_moved_session(self, session: MovedSession, now_s: float) -> None:
         """Record where another entry has placed a session."""
         if self._mechanisms.moved_news and self._mechanisms.warmth:
-            self._warmth.note(session.incarnation_id, session.part_ids, now_s)
+            self._prefixes.note(session.incarnation_id, session.part_ids, now_s)
 
-    def joined(self, endpoint_id: str, now_s: float) -> None:
+    def announce_outranked_sessions(self, endpoint_id: str, now_s: float) -> None:
         """Announce the sessions for which a new endpoint ranks before the one with their prefix.
 
         Entries that have not seen such a session take the new endpoint for its home and the next
@@ -162,14 +168,14 @@
         now_s: float,
     ) -> list[KnownEndpoint]:
         """Return the endpoints with the prefix cached, then the others, in rendezvous order."""
-        warm = self._warmth.warm(rows, parts, now_s)
+        cached = self._prefixes.fully_cached(rows, parts, now_s)
         rank = _rank(parts.ids)
         if not self._mechanisms.home:
             return sorted(
-                rows, key=lambda row: (row.incarnation_id not in warm, loads[row.incarnation_id])
+                rows, key=lambda row: (row.incarnation_id not in cached, loads[row.incarnation_id])
             )
         return sorted(
-            rows, key=lambda row: (row.incarnation_id not in warm, rank(row.record.endpoint_id))
+            rows, key=lambda row: (row.incarnation_id not in cached, rank(row.record.endpoint_id))
         )
 
     def _under_bound(
@@ -192,16 +198,16 @@
         ]
 
 
-def _load_bound(loads: Collection[float], closed: Sequence[KnownEndpoint], now_s: float) -> float:
+def _load_bound(loads: Collection[float], excluded: Sequence[KnownEndpoint], now_s: float) -> float:
     """Return the load from which an endpoint is skipped.
 
     Args:
         loads: Load of each endpoint that may get the request.
-        closed: Endpoints that must not get it; they count in the mean of the fleet's bound.
+        excluded: Endpoints that must not get it; they count in the mean of the fleet's bound.
         now_s: Time on the clock of the loads.
     """
-    total = sum(loads) + sum(row.load(now_s) for row in closed)
-    return _BOUND_RATIO * total / (len(loads) + len(closed)) + _BOUND_ALLOWANCE
+    total = sum(loads) + sum(row.load(now_s) for row in excluded)
+    return _BOUND_RATIO * total / (len(loads) + len(excluded)) + _BOUND_ALLOWANCE
 
 
 def _unreported_margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
@@ -213,9 +219,9 @@
     return math.sqrt(row.expected_unreported(mean, now_s))
 
 
-def _queue_ms(row: KnownEndpoint, pace: ReadingPace) -> float:
+def _queue_ms(row: KnownEndpoint, rate: PrefillRate) -> float:
     """Return how long an endpoint will take to prefill the prompts that it already has."""
-    return row.prefill_tokens * _OTHER_ENTRIES_FACTOR / pace.tokens_per_ms
+    return row.prefill_tokens * _OTHER_ENTRIES_FACTOR / rate.tokens_per_ms
 
 
 def _home(rows: Sequence[KnownEndpoint], parts: PromptParts) -> KnownEndpoint:
--- a/src/beryljunction/routing/warmth.py
+++ b/src/beryljunction/routing/warmth.py
@@ -7,7 +7,7 @@
 
 from beryljunction.routing.knownendpoint import KnownEndpoint
 
-__all__ = ["PromptParts", "WarmthMap"]
+__all__ = ["PromptParts", "PrefixDirectory"]
 
 # A part counts as cached for this long after its last use. Engines keep parts for minutes while
 # their memory lasts; a wrong estimate costs one prefill of the part.
@@ -36,7 +36,7 @@
         return sum(self.tokens)
 
 
-class WarmthMap:
+class PrefixDirectory:
     """Remembers which endpoint incarnation has prefilled which part, and when.
 
     Engines can reuse a part only together with all parts before it, so only leading parts count.
@@ -54,15 +54,17 @@
         while len(self._parts) > _MAX_PARTS:
             self._parts.popitem(last=False)
 
-    def kept_tokens(self, incarnation_id: tuple[str, int], parts: PromptParts, now_s: float) -> int:
+    def cached_tokens(
+        self, incarnation_id: tuple[str, int], parts: PromptParts, now_s: float
+    ) -> int:
         """Return how many leading tokens an endpoint is estimated to have cached."""
-        kept = 0
+        cached = 0
         for part, tokens in zip(parts.ids, parts.tokens, strict=True):
             used_s = self._parts.get(part, {}).get(incarnation_id)
             if used_s is None or now_s - used_s > _CACHED_S:
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def best_source(
         self, rows: Iterable[KnownEndpoint], parts: PromptParts, now_s: float
@@ -70,12 +72,12 @@
         """Return the endpoint with the most leading tokens cached (estimate), and their number."""
         best, most = None, 0
         for row in rows:
-            kept = self.kept_tokens(row.incarnation_id, parts, now_s)
-            if kept > most:
-                best, most = row, kept
+            cached = self.cached_tokens(row.incarnation_id, parts, now_s)
+            if cached > most:
+                best, most = row, cached
         return best, most
 
-    def warm(
+    def fully_cached(
         self, rows: Sequence[KnownEndpoint], parts: PromptParts, now_s: float
     ) -> set[tuple[str, int]]:
         """Return the incarnations that are estimated to have all parts cached."""
@@ -85,5 +87,5 @@
         return {
             incarnation_id
             for incarnation_id in incarnation_ids
-            if self.kept_tokens(incarnation_id, parts, now_s) >= total
+            if self.cached_tokens(incarnation_id, parts, now_s) >= total
         }
--- a/testing/imbalance_world.py
+++ b/testing/imbalance_world.py
@@ -7,10 +7,10 @@
 import attrs
 
 from beryljunction.routing import (
-    Demand,
+    CacheAwarePlacement,
     LoadReport,
+    PlacementRequest,
     PromptParts,
-    WarmPlacement,
     hear_loads,
     loads_to_tell,
 )
@@ -57,9 +57,9 @@
         self.fleet = fleet
         self.draw = random.Random(seed)
         names = [f"e{self.draw.getrandbits(40):x}" for _ in range(fleet.engines)]
-        self.place = [WarmPlacement() for _ in range(fleet.entries)]
+        self.place = [CacheAwarePlacement() for _ in range(fleet.entries)]
         self.rows = [[known(name, slots=64) for name in names] for _ in range(fleet.entries)]
-        self.closed = [rows[: fleet.evacuated] for rows in self.rows]
+        self.excluded = [rows[: fleet.evacuated] for rows in self.rows]
         self.rows = [rows[fleet.evacuated :] for rows in self.rows]
         self.held = dict.fromkeys(names, 0)
         count = fleet.sessions * fleet.engines
@@ -93,10 +93,10 @@
         if self.fleet.hot_share and self.draw.random() < self.fleet.hot_share:
             session = self.sessions[0]
         parts = PromptParts(("common", session), (500, 5_000), 300)
-        demand = Demand(parts, self.closed[entry])
+        request = PlacementRequest(parts, self.excluded[entry])
         rows = self.rows[entry]
-        row = self.place[entry].choose(rows, demand, now_s)
-        self.place[entry].reading(rows, row, demand, now_s)
+        row = self.place[entry].choose(rows, request, now_s)
+        self.place[entry].plan_prefill(rows, row, request, now_s)
         name = row.record.endpoint_id
         self.held[name] += 1
         row.in_flight += 1
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -8,18 +8,18 @@
 from beryljunction.platform import read_host_settings
 from beryljunction.routing import (
     AttemptPlan,
-    Demand,
+    CacheAwarePlacement,
     LoadReport,
     Mechanisms,
     MovedSession,
     Outcome,
+    PlacementRequest,
     PlainPlacement,
+    PrefillPlan,
     PromptParts,
-    Reading,
     Repeat,
     RetryShare,
     Verdict,
-    WarmPlacement,
     healthy_endpoints,
     mechanisms_of,
     weighted_loads,
@@ -33,8 +33,8 @@
     return Mechanisms.parse(f"{name}=off")
 
 
-def demand(session="chat", tokens=5_000):
-    return Demand(PromptParts(("common", session), (500, tokens), 300))
+def request(session="chat", tokens=5_000):
+    return PlacementRequest(PromptParts(("common", session), (500, tokens), 300))
 
 
 def rows_of(count, **fields):
@@ -84,25 +84,25 @@
             read_host_settings(str(file))
 
 
-class TestWarmPlacement:
+class TestCacheAwarePlacement:
     """Each switch changes only the decision that it names."""
 
     def placed(self, mechanisms, rows, sessions=40):
-        placement = WarmPlacement(mechanisms)
+        placement = CacheAwarePlacement(mechanisms)
         chosen = []
         for number in range(sessions):
-            wanted = demand(f"chat{number}")
+            wanted = request(f"chat{number}")
             row = placement.choose(rows, wanted, 0.0)
-            placement.reading(rows, row, wanted, 0.0)
+            placement.plan_prefill(rows, row, wanted, 0.0)
             chosen.append(row.incarnation_id)
         return chosen
 
     def test_without_warmth_a_session_follows_its_hash_to_a_new_endpoint(self):
-        placement, rows = WarmPlacement(off("warmth")), rows_of(4)
-        sessions = [demand(f"chat{n}") for n in range(60)]
+        placement, rows = CacheAwarePlacement(off("warmth")), rows_of(4)
+        sessions = [request(f"chat{n}") for n in range(60)]
         before = [placement.choose(rows, wanted, 0.0).incarnation_id for wanted in sessions]
         for wanted in sessions:
-            placement.reading(rows, placement.choose(rows, wanted, 0.0), wanted, 0.0)
+            placement.plan_prefill(rows, placement.choose(rows, wanted, 0.0), wanted, 0.0)
 
         after = [placement.choose([*rows, known("new")], w, 0.1).incarnation_id for w in sessions]
 
@@ -118,62 +118,64 @@
 
     def test_without_bound_an_overloaded_home_still_gets_its_session(self):
         rows = rows_of(4)
-        home = WarmPlacement().choose(rows, demand(), 0.0)
+        home = CacheAwarePlacement().choose(rows, request(), 0.0)
         home.in_flight = 50
 
-        assert WarmPlacement(off("bound")).choose(rows, demand(), 0.0) is home
-        assert WarmPlacement().choose(rows, demand(), 0.0) is not home
+        assert CacheAwarePlacement(off("bound")).choose(rows, request(), 0.0) is home
+        assert CacheAwarePlacement().choose(rows, request(), 0.0) is not home
 
     def test_without_bound_margin_an_old_report_does_not_lower_the_bound(self):
         rows = rows_of(4, in_flight=4)
-        home = WarmPlacement().choose(rows, demand(), 0.0)
+        home = CacheAwarePlacement().choose(rows, request(), 0.0)
         home.in_flight = 10
         for row in rows:
             row.report = LoadReport(row.in_flight, 0, row.in_flight, -10.0)
 
-        assert WarmPlacement(off("bound_margin")).choose(rows, demand(), 0.0) is home
-        assert WarmPlacement().choose(rows, demand(), 0.0) is not home
+        assert CacheAwarePlacement(off("bound_margin")).choose(rows, request(), 0.0) is home
+        assert CacheAwarePlacement().choose(rows, request(), 0.0) is not home
 
     def test_without_patience_a_session_waits_behind_a_long_prefill(self):
         rows = rows_of(4)
-        home = WarmPlacement().choose(rows, demand(), 0.0)
+        home = CacheAwarePlacement().choose(rows, request(), 0.0)
         home.prefill_tokens = 50_000
 
-        assert WarmPlacement(off("patience")).choose(rows, demand(), 0.0) is home
-        assert WarmPlacement().choose(rows, demand(), 0.0) is not home
+        assert CacheAwarePlacement(off("patience")).choose(rows, request(), 0.0) is home
+        assert CacheAwarePlacement().choose(rows, request(), 0.0) is not home
 
     def test_without_fetch_a_moved_session_is_recomputed(self):
         rows = rows_of(4)
         for mechanisms, has_source in ((Mechanisms(), True), (off("fetch"), False)):
-            placement = WarmPlacement(mechanisms)
-            home = placement.choose(rows, demand(), 0.0)
-            placement.reading(rows, home, demand(), 0.0)
+            placement = CacheAwarePlacement(mechanisms)
+            home = placement.choose(rows, request(), 0.0)
+            placement.plan_prefill(rows, home, request(), 0.0)
             elsewhere = next(row for row in rows if row is not home)
 
-            reading = placement.reading(rows, elsewhere, demand(), 0.1)
+            prefill = placement.plan_prefill(rows, elsewhere, request(), 0.1)
 
-            assert (reading.source is home) == has_source
+            assert (prefill.source is home) == has_source
 
     def test_without_moved_news_no_session_is_announced_or_learned(self):
         rows = rows_of(4)
-        placement = WarmPlacement(off("moved_news"))
-        home = placement.choose(rows, demand(), 0.0)
+        placement = CacheAwarePlacement(off("moved_news"))
+        home = placement.choose(rows, request(), 0.0)
         elsewhere = next(row for row in rows if row is not home)
 
-        placement.reading(rows, elsewhere, demand("other"), 0.0)
-        placement.learn(MovedSession(demand().parts.ids, elsewhere.incarnation_id), 0.0)
+        placement.plan_prefill(rows, elsewhere, request("other"), 0.0)
+        placement.note_moved_session(
+            MovedSession(request().parts.ids, elsewhere.incarnation_id), 0.0
+        )
 
         assert placement.moved.end == 0
-        assert placement.choose(rows, demand(), 0.1) is home
+        assert placement.choose(rows, request(), 0.1) is home
 
     def test_without_learned_pace_the_prior_rate_stays(self):
         for mechanisms, is_learned in ((Mechanisms(), True), (off("learned_pace"), False)):
-            placement = WarmPlacement(mechanisms)
-            before = placement.pace("engine").tokens_per_ms
+            placement = CacheAwarePlacement(mechanisms)
+            before = placement.prefill_rate("engine").tokens_per_ms
             for tokens in range(0, 100_000, 1_000):
-                placement.note_first("engine", Reading(None, tokens), 20 + tokens / 100)
+                placement.note_first_byte("engine", PrefillPlan(None, tokens), 20 + tokens / 100)
 
-            assert (placement.pace("engine").tokens_per_ms > before * 2) == is_learned
+            assert (placement.prefill_rate("engine").tokens_per_ms > before * 2) == is_learned
 
 
 class TestHealth:
@@ -213,7 +215,7 @@
         rows = [known("far", availability_zone="b"), known("near")]
         chosen = {
             PlainPlacement("a", random.Random(seed), off("zone_penalty"))
-            .choose(rows, Demand(), 0.0)
+            .choose(rows, PlacementRequest(), 0.0)
             .incarnation_id
             for seed in range(20)
         }
--- a/testing/test_moved.py
+++ b/testing/test_moved.py
@@ -1,17 +1,17 @@
 from beryljunction.routing import (
-    Demand,
+    CacheAwarePlacement,
     MovedSession,
     MovedSessions,
+    PlacementRequest,
     PromptParts,
-    WarmPlacement,
 )
 from routing_fakes import known
 
 SESSION = MovedSession(("common", "chat"), ("e1", 1))
 
 
-def demand(session):
-    return Demand(PromptParts(("common", session), (500, 2_000)))
+def request(session):
+    return PlacementRequest(PromptParts(("common", session), (500, 2_000)))
 
 
 class Entries:
@@ -19,19 +19,19 @@
 
     def __init__(self, count=5):
         self.rows = [known(f"e{number}") for number in range(count)]
-        self.one, self.two = WarmPlacement(), WarmPlacement()
+        self.one, self.two = CacheAwarePlacement(), CacheAwarePlacement()
 
     def send(self, entry, session, now_s):
         """Choose and send; return the endpoint and where it fetches the prefix from."""
-        row = entry.choose(self.rows, demand(session), now_s)
-        reading = entry.reading(self.rows, row, demand(session), now_s)
-        return row, reading
+        row = entry.choose(self.rows, request(session), now_s)
+        prefill = entry.plan_prefill(self.rows, row, request(session), now_s)
+        return row, prefill
 
     def move(self, session, now_s):
         """Let the first entry place a session while its first two endpoints are overloaded."""
         for _ in range(2):
-            home = WarmPlacement().choose(
-                [row for row in self.rows if not row.in_flight], demand(session), now_s
+            home = CacheAwarePlacement().choose(
+                [row for row in self.rows if not row.in_flight], request(session), now_s
             )
             home.in_flight = 40
         moved, _ = self.send(self.one, session, now_s)
@@ -41,7 +41,7 @@
 
     def share_moved(self, now_s):
         for session in self.one.moved.since(0):
-            self.two.learn(session, now_s)
+            self.two.note_moved_session(session, now_s)
 
 
 class TestMovedSessions:
@@ -77,13 +77,13 @@
         """
         entries = Entries()
         moved = entries.move("chat", 0.0)
-        without_news, _ = entries.send(WarmPlacement(), "chat", 1.0)
+        without_news, _ = entries.send(CacheAwarePlacement(), "chat", 1.0)
 
         entries.share_moved(1.0)
-        found, reading = entries.send(entries.two, "chat", 1.0)
+        found, prefill = entries.send(entries.two, "chat", 1.0)
 
         assert without_news is not moved
-        assert (found, reading.unread_tokens) == (moved, 0)
+        assert (found, prefill.uncached_tokens) == (moved, 0)
 
     def test_session_at_its_home_is_not_announced(self):
         entries = Entries()
@@ -103,7 +103,7 @@
 
         for name in ("new1", "new2"):
             entries.rows.append(known(name))
-            entries.one.joined(name, 1.0)
+            entries.one.announce_outranked_sessions(name, 1.0)
         entries.share_moved(1.0)
         after = {n: entries.send(entries.two, f"chat{n}", 2.0)[0] for n in range(100)}
 
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -236,7 +236,7 @@
                     data = f"{head} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                     bad.append((await world.send_to(server, data + body))[0])
                 good = await HttpPeerLink().tell(server, news(SESSION).encode())
-                return bad, good, state._warm_placement._warmth._parts["chat"]
+                return bad, good, state._warm_placement._prefixes._parts["chat"]
 
         bad, good, known = anyio.run(run)
 
--- a/testing/test_warm_placement.py
+++ b/testing/test_warm_placement.py
@@ -4,11 +4,11 @@
 import attrs
 
 from beryljunction.routing import (
-    Demand,
+    CacheAwarePlacement,
     LoadReport,
+    PlacementRequest,
     PlainPlacement,
     PromptParts,
-    WarmPlacement,
     healthy_endpoints,
 )
 from routing_fakes import known
@@ -21,27 +21,30 @@
 def place(placement, rows, wanted, now_s):
     """Choose an endpoint and record that the request is sent there."""
     row = placement.choose(rows, wanted, now_s)
-    placement.reading(rows, row, wanted, now_s)
+    placement.plan_prefill(rows, row, wanted, now_s)
     return row
 
 
-def demand(session):
-    return Demand(PromptParts(("common", session), (500, 2_000)))
+def request(session):
+    return PlacementRequest(PromptParts(("common", session), (500, 2_000)))
 
 
-class TestWarmPlacement:
+class TestCacheAwarePlacement:
     def test_entries_agree_on_a_home_without_communicating(self):
         rows = rows_of(5)
 
-        homes = {place(WarmPlacement(), rows, demand("chat"), 0.0).incarnation_id for _ in range(4)}
+        homes = {
+            place(CacheAwarePlacement(), rows, request("chat"), 0.0).incarnation_id
+            for _ in range(4)
+        }
 
         assert len(homes) == 1
 
     def test_sessions_spread_over_all_endpoints(self):
-        placement, rows = WarmPlacement(), rows_of(5)
+        placement, rows = CacheAwarePlacement(), rows_of(5)
 
         counts = collections.Counter(
-            place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(500)
+            place(placement, rows, request(f"chat{n}"), 0.0).incarnation_id for n in range(500)
         )
 
         assert len(counts) == 5
@@ -53,31 +56,31 @@
         A chat whose home by hash is the new engine would have its whole prefix recomputed there,
         although the engine that has it cached is idle.
         """
-        placement, rows = WarmPlacement(), rows_of(4)
+        placement, rows = CacheAwarePlacement(), rows_of(4)
         before = {
-            n: place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(100)
+            n: place(placement, rows, request(f"chat{n}"), 0.0).incarnation_id for n in range(100)
         }
 
         rows.append(known("new"))
         after = {
-            n: place(placement, rows, demand(f"chat{n}"), 1.0).incarnation_id for n in range(100)
+            n: place(placement, rows, request(f"chat{n}"), 1.0).incarnation_id for n in range(100)
         }
 
         assert after == before
         fresh = {
-            place(placement, rows, demand(f"fresh{n}"), 1.0).incarnation_id for n in range(100)
+            place(placement, rows, request(f"fresh{n}"), 1.0).incarnation_id for n in range(100)
         }
         assert ("new", 1) in fresh
 
     def test_only_sessions_of_a_lost_endpoint_move(self):
-        placement, rows = WarmPlacement(), rows_of(5)
+        placement, rows = CacheAwarePlacement(), rows_of(5)
         before = {
-            n: place(placement, rows, demand(f"chat{n}"), 0.0).incarnation_id for n in range(100)
+            n: place(placement, rows, request(f"chat{n}"), 0.0).incarnation_id for n in range(100)
         }
         lost = rows.pop(2).incarnation_id
 
         after = {
-            n: place(placement, rows, demand(f"chat{n}"), 1.0).incarnation_id for n in range(100)
+            n: place(placement, rows, request(f"chat{n}"), 1.0).incarnation_id for n in range(100)
         }
 
         assert all(after[n] == before[n] for n in before if before[n] != lost)
@@ -87,48 +90,48 @@
 
         Its engine would run far more requests than the others, and all its streams would slow down.
         """
-        placement, rows = WarmPlacement(), rows_of(5)
+        placement, rows = CacheAwarePlacement(), rows_of(5)
         for _ in range(60):
-            place(placement, rows, demand("hot"), 0.0).in_flight += 1
+            place(placement, rows, request("hot"), 0.0).in_flight += 1
 
         loads = [row.in_flight for row in rows]
         mean = sum(loads) / len(loads)
         assert max(loads) <= 2 * mean + 3
 
     def test_endpoints_of_a_hot_session_are_used_again(self):
-        placement, rows = WarmPlacement(), rows_of(8)
+        placement, rows = CacheAwarePlacement(), rows_of(8)
         used = set()
         for _ in range(12):
-            row = place(placement, rows, demand("hot"), 0.0)
+            row = place(placement, rows, request("hot"), 0.0)
             row.in_flight += 1
             used.add(row.incarnation_id)
         for row in rows:
             row.in_flight = 0
 
-        again = {place(placement, rows, demand("hot"), 5.0).incarnation_id for _ in range(3)}
+        again = {place(placement, rows, request("hot"), 5.0).incarnation_id for _ in range(3)}
 
         assert again <= used
 
     def test_load_from_other_entries_counts(self):
-        placement, rows = WarmPlacement(), rows_of(3)
-        home = place(placement, rows, demand("chat"), 0.0)
+        placement, rows = CacheAwarePlacement(), rows_of(3)
+        home = place(placement, rows, request("chat"), 0.0)
         home.report = LoadReport(running=30, waiting=0, own=0, at_s=0.0)
 
-        assert place(placement, rows, demand("chat"), 0.1) is not home
+        assert place(placement, rows, request("chat"), 0.1) is not home
 
     def test_requests_without_a_prompt_go_to_the_least_loaded_endpoint(self):
         """Guards against sending all calls without prompt parts to one endpoint, up to its bound.
 
         They have no session, so the rendezvous order would be the same for all of them.
         """
-        placement, rows = WarmPlacement(), rows_of(4)
+        placement, rows = CacheAwarePlacement(), rows_of(4)
         for _ in range(8):
-            placement.choose(rows, Demand(), 0.0).in_flight += 1
+            placement.choose(rows, PlacementRequest(), 0.0).in_flight += 1
 
         assert [row.in_flight for row in rows] == [2, 2, 2, 2]
 
     def test_no_endpoint_is_chosen_from_an_empty_list(self):
-        assert WarmPlacement().choose([], demand("chat"), 0.0) is None
+        assert CacheAwarePlacement().choose([], request("chat"), 0.0) is None
 
 
 class TestPlainPlacement:
@@ -136,19 +139,21 @@
         rows = [known("a", in_flight=2), known("b", in_flight=1), known("c", in_flight=3)]
         placement = PlainPlacement("a", random.Random(1))
 
-        assert placement.choose(rows, Demand(), 0.0).record.endpoint_id == "b"
+        assert placement.choose(rows, PlacementRequest(), 0.0).record.endpoint_id == "b"
 
     def test_own_zone_goes_first_at_equal_load(self):
         rows = [known("far", availability_zone="b"), known("near", availability_zone="a")]
         placement = PlainPlacement("a", random.Random(1))
 
-        assert placement.choose(rows, Demand(), 0.0).record.endpoint_id == "near"
+        assert placement.choose(rows, PlacementRequest(), 0.0).record.endpoint_id == "near"
 
     def test_ties_are_broken_at_random(self):
         rows = [known(name) for name in "abc"]
         placement = PlainPlacement("a", random.Random(1))
 
-        chosen = {placement.choose(rows, Demand(), 0.0).record.endpoint_id for _ in range(50)}
+        chosen = {
+            placement.choose(rows, PlacementRequest(), 0.0).record.endpoint_id for _ in range(50)
+        }
 
         assert chosen == {"a", "b", "c"}
 
@@ -190,7 +195,7 @@
         assert rows[1] not in healthy_endpoints(rows, 11.1)
 
 
-class TestClosedEndpoints:
+class TestExcludedEndpoints:
     def test_bound_includes_evacuated_endpoints_in_the_mean(self):
         """Guards against a home above twice the mean while a third of the endpoints is evacuated.
 
@@ -198,11 +203,11 @@
         15 exceeds 1.6 x 7 + 3.
         """
         rows = [known(f"e{number}", in_flight=10) for number in range(10)]
-        closed = [known(f"z{number}") for number in range(5)]
-        home = WarmPlacement().choose(rows, demand("chat"), 0.0)
+        excluded = [known(f"z{number}") for number in range(5)]
+        home = CacheAwarePlacement().choose(rows, request("chat"), 0.0)
         home.in_flight = 15
 
-        wanted = attrs.evolve(demand("chat"), closed=closed)
+        wanted = attrs.evolve(request("chat"), excluded_endpoints=excluded)
 
-        assert WarmPlacement().choose(rows, demand("chat"), 0.0) is home
-        assert WarmPlacement().choose(rows, wanted, 0.0) is not home
+        assert CacheAwarePlacement().choose(rows, request("chat"), 0.0) is home
+        assert CacheAwarePlacement().choose(rows, wanted, 0.0) is not home
