--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -13,8 +13,8 @@
 from beryljunction.routing import (
     AgeBound,
     CacheAwarePlacement,
-    ColdLimit,
-    ColdShare,
+    ColdStartLimit,
+    ColdStartLimiter,
     Confirmation,
     EndpointRegistry,
     Evacuations,
@@ -77,7 +77,7 @@
         self.registry = EndpointRegistry(self.contact)
         self.evacuations = Evacuations()
         self.era = 0
-        self.cold = ColdShare(host.host, _cold_limit(bounds), boot_time_s())
+        self.cold = ColdStartLimiter(host.host, _cold_start_limit(bounds), boot_time_s())
         self.fan_out = FanOut(host.host)
         self.quarantine = Quarantine(host.host, self.fan_out, events)
         self.news = Signal()
@@ -94,7 +94,7 @@
             return
         self.bounds = bounds
         self.lease.revocation_s = bounds.revocation_ms / 1000
-        self.cold.limit = _cold_limit(bounds)
+        self.cold.limit = _cold_start_limit(bounds)
         self._retry_shares.clear()
 
     @property
@@ -269,5 +269,5 @@
         return is_known and self.lease.is_ready(boot_time_s())
 
 
-def _cold_limit(bounds: HostBounds) -> ColdLimit:
-    return ColdLimit(bounds.cold_overshoot, bounds.cold_slack)
+def _cold_start_limit(bounds: HostBounds) -> ColdStartLimit:
+    return ColdStartLimit(bounds.cold_overshoot, bounds.cold_slack)
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -3,7 +3,7 @@
 from beryljunction.routing.admitting import Admitted, Denial, DenialReason, admit
 from beryljunction.routing.attempts import AttemptPlan, Outcome, Verdict
 from beryljunction.routing.budget import RetryShare
-from beryljunction.routing.cold import ColdLimit, ColdShare
+from beryljunction.routing.cold import ColdStartLimit, ColdStartLimiter
 from beryljunction.routing.confirmation import STORE, AgeBound, Confirmation
 from beryljunction.routing.contact import StoreContact
 from beryljunction.routing.crashes import Crash, CrashTable, owners_of
@@ -51,8 +51,8 @@
     "Admitted",
     "AttemptPlan",
     "CallerLimits",
-    "ColdLimit",
-    "ColdShare",
+    "ColdStartLimit",
+    "ColdStartLimiter",
     "Confirmation",
     "Crash",
     "CrashTable",
--- a/src/beryljunction/routing/cold.py
+++ b/src/beryljunction/routing/cold.py
@@ -9,7 +9,7 @@
 from beryljunction.routing.knownendpoint import KnownEndpoint
 from beryljunction.routing.rendezvous import rendezvous_rank
 
-__all__ = ["ColdLimit", "ColdShare", "share_of"]
+__all__ = ["ColdStartLimit", "ColdStartLimiter", "entry_share"]
 
 # Requests are counted over one second, plus a margin for clock rounding.
 _WINDOW_S = 1.05
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class ColdLimit:
+class ColdStartLimit:
     """Fleet-wide limit on the requests to a cold endpoint.
 
     Attributes:
@@ -36,7 +36,7 @@
         return service.cold_per_s * self.overshoot + self.slack
 
 
-def share_of(position: int, entries: int, requests_per_s: float) -> int:
+def entry_share(position: int, entries: int, requests_per_s: float) -> int:
     """Return how many requests one entry may send in any one second.
 
     The first few entries get equal whole numbers. The others get none, since even one request from
@@ -52,7 +52,7 @@
     return shared // senders if position < senders else 0
 
 
-class ColdShare:
+class ColdStartLimiter:
     """Keeps the fleet's requests to a cold endpoint below the limit without coordination.
 
     An endpoint that has just started crashes above a certain request rate. The share of each entry
@@ -66,7 +66,7 @@
         started_s: When this entry started.
     """
 
-    def __init__(self, host: str, limit: ColdLimit, started_s: float) -> None:
+    def __init__(self, host: str, limit: ColdStartLimit, started_s: float) -> None:
         self._host = host
         self._started_s = started_s
         self._hosts: tuple[str, ...] = ()
@@ -118,7 +118,7 @@
                 self._positions.clear()
             self._positions[endpoint_id] = position
         per_s = self.limit.requests_per_s(service)
-        return share_of(position, len(self._hosts), per_s) if math.isfinite(per_s) else 0
+        return entry_share(position, len(self._hosts), per_s) if math.isfinite(per_s) else 0
 
     def _position(self, endpoint_id: str) -> int:
         """Return this entry's position in the rendezvous order of the entries for an endpoint.
--- a/testing/test_cold.py
+++ b/testing/test_cold.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from beryljunction.platform import Unusable, decode_endpoint
-from beryljunction.routing import ColdLimit, ColdShare, EndpointRegistry, Service
-from beryljunction.routing.cold import share_of
+from beryljunction.routing import ColdStartLimit, ColdStartLimiter, EndpointRegistry, Service
+from beryljunction.routing.cold import entry_share
 from routing_fakes import endpoint
 
 SERVICE = Service("engine", True, True, cold_start_s=3.0, cold_per_s=11.0)
-LIMIT = ColdLimit(overshoot=1.5, slack=5.0)
+LIMIT = ColdStartLimit(overshoot=1.5, slack=5.0)
 ALLOWED = 21.5
 
 
@@ -21,10 +21,10 @@
     return registry.put(endpoint("new", cold_ms=cold_ms), 10.0)
 
 
-def share_for(hosts, host="h0", started_s=-100.0):
-    share = ColdShare(host, LIMIT, started_s)
-    share.note_entries(hosts)
-    return share
+def limiter_for(hosts, host="h0", started_s=-100.0):
+    limiter = ColdStartLimiter(host, LIMIT, started_s)
+    limiter.note_entries(hosts)
+    return limiter
 
 
 def hosts_of(count):
@@ -37,11 +37,11 @@
         per_s=st.floats(0.0, 500.0, allow_nan=False),
     )
     def test_sum_of_all_entries_keeps_the_limit(self, entries, per_s):
-        assert sum(share_of(place, entries, per_s) for place in range(entries)) <= per_s
+        assert sum(entry_share(place, entries, per_s) for place in range(entries)) <= per_s
 
     @pytest.mark.parametrize(("entries", "own", "serving"), [(1, 18, 1), (4, 4, 4), (24, 1, 18)])
     def test_share_uses_most_of_the_limit(self, entries, own, serving):
-        shares = [share_of(place, entries, ALLOWED) for place in range(entries)]
+        shares = [entry_share(place, entries, ALLOWED) for place in range(entries)]
 
         assert shares[0] == own
         assert sum(1 for share in shares if share) == serving
@@ -49,15 +49,15 @@
 
 class TestIsCold:
     def test_endpoint_is_cold_for_as_long_as_it_says(self):
-        share, row = share_for(hosts_of(2)), row_of()
+        limiter, row = limiter_for(hosts_of(2)), row_of()
 
-        assert share.is_cold(row, SERVICE, 12.9)
-        assert not share.is_cold(row, SERVICE, 13.1)
+        assert limiter.is_cold(row, SERVICE, 12.9)
+        assert not limiter.is_cold(row, SERVICE, 13.1)
 
     def test_service_without_a_rate_has_no_limit(self):
         plain = Service("plain", False, False, cold_start_s=3.0)
 
-        assert not share_for(hosts_of(2)).is_cold(row_of(), plain, 10.1)
+        assert not limiter_for(hosts_of(2)).is_cold(row_of(), plain, 10.1)
 
     def test_same_record_read_again_does_not_extend_the_warm_up(self):
         registry = EndpointRegistry()
@@ -66,7 +66,7 @@
 
         registry.put(record, 20.0)
 
-        assert not share_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
+        assert not limiter_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
 
     def test_endpoint_may_become_cold_again(self):
         registry = EndpointRegistry()
@@ -74,7 +74,7 @@
 
         registry.put(endpoint("a", sequence=9, cold_ms=3_000), 20.0)
 
-        assert share_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
+        assert limiter_for(hosts_of(2)).is_cold(row, SERVICE, 20.1)
 
     def test_endpoint_that_failed_may_have_restarted(self):
         """Guards against a restart under the same id that the record does not show yet."""
@@ -82,7 +82,7 @@
 
         row.note_failure(20.0)
 
-        assert share_for(hosts_of(2)).is_cold(row, SERVICE, 22.9)
+        assert limiter_for(hosts_of(2)).is_cold(row, SERVICE, 22.9)
 
     @pytest.mark.parametrize("value", ["-5", "1e300", "NaN", "Infinity"])
     def test_unusable_warm_up_time_counts_as_cold(self, value):
@@ -95,7 +95,7 @@
         row = EndpointRegistry().put(record, 10.0)
 
         assert record.cold_ms is None
-        assert share_for(hosts_of(2)).is_cold(row, SERVICE, 12.9)
+        assert limiter_for(hosts_of(2)).is_cold(row, SERVICE, 12.9)
 
     def test_record_with_a_value_of_another_type_is_unusable(self):
         text = (
@@ -108,43 +108,43 @@
 
 class TestAllows:
     def test_share_is_used_up_and_renewed_after_a_second(self):
-        share, row = share_for(hosts_of(1)), row_of()
+        limiter, row = limiter_for(hosts_of(1)), row_of()
 
         for _ in range(18):
-            assert share.allows(row, SERVICE, 10.0)
-            share.note_send(row, SERVICE, 10.0)
+            assert limiter.allows(row, SERVICE, 10.0)
+            limiter.note_send(row, SERVICE, 10.0)
 
-        assert not share.allows(row, SERVICE, 11.0)
-        assert share.allows(row, SERVICE, 11.1)
+        assert not limiter.allows(row, SERVICE, 11.0)
+        assert limiter.allows(row, SERVICE, 11.1)
 
     def test_warm_endpoint_has_no_limit(self):
-        share, row = share_for(hosts_of(1)), row_of(cold_ms=0)
+        limiter, row = limiter_for(hosts_of(1)), row_of(cold_ms=0)
 
         for _ in range(50):
-            share.note_send(row, SERVICE, 10.0)
+            limiter.note_send(row, SERVICE, 10.0)
 
-        assert share.allows(row, SERVICE, 10.0)
+        assert limiter.allows(row, SERVICE, 10.0)
 
     def test_requests_sent_before_the_endpoint_was_known_to_be_cold_count(self):
-        share, row = share_for(hosts_of(1)), row_of(cold_ms=0)
+        limiter, row = limiter_for(hosts_of(1)), row_of(cold_ms=0)
 
         for _ in range(18):
-            share.note_send(row, SERVICE, 10.0)
+            limiter.note_send(row, SERVICE, 10.0)
         row.note_failure(10.1)
 
-        assert not share.allows(row, SERVICE, 10.2)
+        assert not limiter.allows(row, SERVICE, 10.2)
 
     def test_entry_that_does_not_know_the_others_sends_nothing(self):
-        share = ColdShare("h0", LIMIT, started_s=-100.0)
+        limiter = ColdStartLimiter("h0", LIMIT, started_s=-100.0)
 
-        assert not share.allows(row_of(), SERVICE, 10.0)
+        assert not limiter.allows(row_of(), SERVICE, 10.0)
 
     def test_entry_that_has_just_started_sends_nothing(self):
         """Guards against a restarted entry that doesn't know what its last process has sent."""
-        share = share_for(hosts_of(1), started_s=9.5)
+        limiter = limiter_for(hosts_of(1), started_s=9.5)
 
-        assert not share.allows(row_of(), SERVICE, 10.0)
-        assert share.allows(row_of(), SERVICE, 10.6)
+        assert not limiter.allows(row_of(), SERVICE, 10.0)
+        assert limiter.allows(row_of(), SERVICE, 10.6)
 
 
 class Fleet:
@@ -160,10 +160,10 @@
             self.start(host, -100.0)
 
     def start(self, host, now_s):
-        share = ColdShare(host, LIMIT, now_s)
+        limiter = ColdStartLimiter(host, LIMIT, now_s)
         known = [other for other in self.hosts if other == host or self.draw.random() > 0.02]
-        share.note_entries(known if len(known) > len(self.hosts) - 3 else self.hosts)
-        self.members[host] = share, EndpointRegistry().put(endpoint("e", cold_ms=600_000), now_s)
+        limiter.note_entries(known if len(known) > len(self.hosts) - 3 else self.hosts)
+        self.members[host] = limiter, EndpointRegistry().put(endpoint("e", cold_ms=600_000), now_s)
 
     def run(self, seconds=20.0):
         now_s = 0.0
@@ -176,9 +176,9 @@
         return self.worst
 
     def send(self, host, now_s):
-        share, row = self.members[host]
-        if share.allows(row, SERVICE, now_s):
-            share.note_send(row, SERVICE, now_s)
+        limiter, row = self.members[host]
+        if limiter.allows(row, SERVICE, now_s):
+            limiter.note_send(row, SERVICE, now_s)
             self.sent_s.append(now_s)
         while now_s - self.sent_s[0] >= 1.0 if self.sent_s else False:
             self.sent_s.popleft()
@@ -203,6 +203,6 @@
         assert max(Fleet(seed, 4).run() for seed in range(1, 5)) > ALLOWED
 
     def test_share_without_regard_to_the_fleet_size_exceeds_the_limit(self, monkeypatch):
-        monkeypatch.setattr("beryljunction.routing.cold.share_of", lambda *_: 1)
+        monkeypatch.setattr("beryljunction.routing.cold.entry_share", lambda *_: 1)
 
         assert max(Fleet(seed, 68).run() for seed in range(1, 5)) > ALLOWED
