--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -24,14 +24,14 @@
 )
 from beryljunction.routing import (
     Admitted,
+    AttemptDecision,
+    AttemptOutcome,
     AttemptPlan,
     Denial,
     DenialReason,
     KnownEndpoint,
-    Outcome,
     PlacementRequest,
     PromptParts,
-    Verdict,
     admit,
     request_digest,
 )
@@ -124,17 +124,17 @@
             if end.outcome is None:
                 return
             self._endpoint_error = end.error or self._endpoint_error
-            verdict = plan.after(end.outcome)
+            decision = plan.after(end.outcome)
             self._log.write(
                 "attempt_ended",
                 digest=self._log.digest,
                 endpoint=endpoint.record.endpoint_id,
                 outcome=end.outcome.value,
-                verdict=verdict.value,
+                verdict=decision.value,
                 detail=end.detail,
             )
-            if verdict is not Verdict.AGAIN:
-                self._give_up(verdict, end.outcome.value)
+            if decision is not AttemptDecision.AGAIN:
+                self._give_up(decision, end.outcome.value)
                 return
 
     def _end_if_quarantined(self, plan: AttemptPlan) -> bool:
@@ -153,7 +153,7 @@
                 return await self._send(call, endpoint, plan)
         except EndpointUnreachable as error:
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(Outcome.NOT_SENT, str(error))
+            return AttemptEnd(AttemptOutcome.NOT_SENT, str(error))
         finally:
             endpoint.in_flight -= 1
 
@@ -167,7 +167,7 @@
         """
         problem = self._state.may_send(self._service, endpoint)
         if problem:
-            return AttemptEnd(Outcome.NOT_SENT, problem)
+            return AttemptEnd(AttemptOutcome.NOT_SENT, problem)
         admitted = self._admit()
         if isinstance(admitted, Denial):
             self._give_up(plan.give_up(), admitted.reason.value, admitted)
@@ -227,13 +227,13 @@
         """Check the status and headers of an answer, then relay it or fail the attempt."""
         if head is None:
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(Outcome.FAILED, call.problem)
+            return AttemptEnd(AttemptOutcome.FAILED, call.problem)
         note_word(endpoint, head, self._log)
         if has_not_run(head.status, head.headers):
-            return AttemptEnd(Outcome.DECLINED, str(head.status))
+            return AttemptEnd(AttemptOutcome.DECLINED, str(head.status))
         if not is_answer_to(self._log.request_id, head.headers):
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(Outcome.FAILED, "answer to another request")
+            return AttemptEnd(AttemptOutcome.FAILED, "answer to another request")
         endpoint.note_answer()
         relay = Relay(call, head, self._delivery, endpoint.latency)
         if admitted.route.streamed and head.status == 200:
@@ -258,13 +258,15 @@
         status = _DENIAL_STATUS[denial.reason] if denial.is_final else 503
         self._answer_error(status, denial.reason.value)
 
-    def _give_up(self, verdict: Verdict, reason: str, denial: Denial | None = None) -> None:
+    def _give_up(
+        self, decision: AttemptDecision, reason: str, denial: Denial | None = None
+    ) -> None:
         """End the request without another attempt; the verdict decides the answer."""
         if self._delivery.has_begun:
             self._abort_answer(reason)
-        elif verdict is Verdict.DELIVER and self._endpoint_error is not None:
+        elif decision is AttemptDecision.DELIVER and self._endpoint_error is not None:
             self._delivery.pass_answer(*self._endpoint_error)
-        elif verdict is not Verdict.REFUSE:
+        elif decision is not AttemptDecision.REFUSE:
             self._answer_error(502, reason)
         elif denial is not None:
             self._deny(denial)
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -7,7 +7,7 @@
 from beryljunction.gateway.delivery import Delivery
 from beryljunction.gateway.eventstream import EventSplitter
 from beryljunction.gateway.messages import Head
-from beryljunction.routing import LatencyEstimate, Outcome, Repeat
+from beryljunction.routing import AttemptOutcome, LatencyEstimate, RepeatPolicy
 
 __all__ = ["AttemptEnd", "Relay"]
 
@@ -26,7 +26,7 @@
         error: Error answer of the endpoint, relayed if no later attempt succeeds.
     """
 
-    outcome: Outcome | None = None
+    outcome: AttemptOutcome | None = None
     detail: str = ""
     error: tuple[Head, bytes] | None = None
 
@@ -42,7 +42,7 @@
         self._delivery = delivery
         self._latency = latency
 
-    async def hold(self, repeat: Repeat) -> AttemptEnd:
+    async def hold(self, repeat: RepeatPolicy) -> AttemptEnd:
         """Buffer the answer, then relay it; a very large one is relayed as it arrives."""
         parts: list[bytes] = []
         size = 0
@@ -52,13 +52,13 @@
             if size > _MAX_HELD_ANSWER_BYTES and not self._delivery.has_begun:
                 return await self._forward(parts)
         if not self._call.is_complete:
-            return AttemptEnd(Outcome.FAILED, self._call.problem)
+            return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
         if self._delivery.has_begun:
             detail = f"expected the rest of a stream, got status {self._head.status}"
-            return AttemptEnd(Outcome.FAILED, detail)
+            return AttemptEnd(AttemptOutcome.FAILED, detail)
         body = b"".join(parts)
-        if self._head.status >= 500 and repeat is not Repeat.NEVER:
-            return AttemptEnd(Outcome.ERRORED, str(self._head.status), (self._head, body))
+        if self._head.status >= 500 and repeat is not RepeatPolicy.NEVER:
+            return AttemptEnd(AttemptOutcome.ERRORED, str(self._head.status), (self._head, body))
         self._delivery.pass_answer(self._head, body)
         return AttemptEnd()
 
@@ -69,7 +69,7 @@
         while (more := await self._call.part()) is not None:
             await self._delivery.write_part(more)
         if not self._call.is_complete:
-            return AttemptEnd(Outcome.FAILED, self._call.problem)
+            return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
         self._delivery.end(self._head)
         return AttemptEnd()
 
@@ -82,9 +82,11 @@
             previous_s = self._record_latency(previous_s, len(events))
             await self._delivery.write_events(self._head, events)
             if splitter.is_overlong:
-                return AttemptEnd(Outcome.FAILED, "event exceeds the size limit")
+                return AttemptEnd(AttemptOutcome.FAILED, "event exceeds the size limit")
         if not self._call.is_complete or splitter.rest:
-            return AttemptEnd(Outcome.FAILED, self._call.problem or "answer ended within an event")
+            return AttemptEnd(
+                AttemptOutcome.FAILED, self._call.problem or "answer ended within an event"
+            )
         self._delivery.end(self._head)
         return AttemptEnd()
 
--- a/src/beryljunction/platform/records.py
+++ b/src/beryljunction/platform/records.py
@@ -13,7 +13,7 @@
     CallerLimits,
     EndpointRecord,
     FleetConfig,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     WeightedService,
@@ -21,7 +21,7 @@
 
 __all__ = ["Unusable", "decode_config", "decode_endpoint", "decode_evacuation"]
 
-_REPEAT_BY_KIND = {"idempotent": Repeat.FREELY, "non_idempotent": Repeat.NEVER}
+_REPEAT_BY_KIND = {"idempotent": RepeatPolicy.FREELY, "non_idempotent": RepeatPolicy.NEVER}
 _STREAM_KIND = "streaming"
 _EVACUATION_PREFIX = "evacuate/"
 # No endpoint warms up for longer than this; a larger value is an error of its writer.
@@ -120,7 +120,7 @@
         path_prefix=_string(fields, "path-prefix"),
         targets=_targets(fields),
         # Routes of an unknown kind are never retried, the safest choice.
-        repeat=Repeat.RESUME if resumes else _REPEAT_BY_KIND.get(kind, Repeat.NEVER),
+        repeat=RepeatPolicy.RESUME if resumes else _REPEAT_BY_KIND.get(kind, RepeatPolicy.NEVER),
         streamed=streamed,
         timeout_ms=_integer(fields, "timeout-ms", 1),
         max_attempts=_integer(fields, "max-attempts", 1, default=1),
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -1,7 +1,7 @@
 """Routing decisions of an entry that calls endpoints directly; no I/O and no clock access."""
 
 from beryljunction.routing.admitting import Admitted, Denial, DenialReason, admit
-from beryljunction.routing.attempts import AttemptPlan, Outcome, Verdict
+from beryljunction.routing.attempts import AttemptDecision, AttemptOutcome, AttemptPlan
 from beryljunction.routing.budget import RetryShare
 from beryljunction.routing.cold import ColdStartLimit, ColdStartLimiter
 from beryljunction.routing.confirmation import STORE, AgeBound, Confirmation
@@ -15,7 +15,7 @@
     Account,
     CallerLimits,
     FleetConfig,
-    Repeat,
+    RepeatPolicy,
     Route,
     Service,
     WeightedService,
@@ -71,7 +71,7 @@
     "Mechanisms",
     "MovedSession",
     "MovedSessions",
-    "Outcome",
+    "AttemptOutcome",
     "LatencyEstimate",
     "Placement",
     "PeerTable",
@@ -79,14 +79,14 @@
     "PromptParts",
     "PrefillPlan",
     "PrefillRate",
-    "Repeat",
+    "RepeatPolicy",
     "RetryShare",
     "Route",
     "Service",
     "STORE",
     "SettingsLease",
     "StoreContact",
-    "Verdict",
+    "AttemptDecision",
     "CacheAwarePlacement",
     "PrefixDirectory",
     "WeightedService",
--- a/src/beryljunction/routing/attempts.py
+++ b/src/beryljunction/routing/attempts.py
@@ -5,16 +5,16 @@
 import attrs
 
 from beryljunction.routing.budget import RetryShare
-from beryljunction.routing.fleet import Repeat
+from beryljunction.routing.fleet import RepeatPolicy
 
-__all__ = ["AttemptPlan", "Outcome", "Verdict"]
+__all__ = ["AttemptPlan", "AttemptOutcome", "AttemptDecision"]
 
 # Failed connections after which a request is given up. Each costs up to the connect timeout, and
 # after four the service is probably gone.
 _MAX_CONNECT_FAILURES = 4
 
 
-class Outcome(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Result of one attempt to send a request to an endpoint.
 
     Attributes:
@@ -30,7 +30,7 @@
     ERRORED = "errored"
 
 
-class Verdict(enum.Enum):
+class AttemptDecision(enum.Enum):
     """What to do after an attempt.
 
     Attributes:
@@ -56,7 +56,7 @@
         may_have_run: Whether any endpoint may have run the request.
     """
 
-    repeat: Repeat
+    repeat: RepeatPolicy
     max_attempts: int
     share: RetryShare
     may_send_again: bool = True
@@ -71,25 +71,25 @@
         self.sends += 1
         return True
 
-    def after(self, outcome: Outcome) -> Verdict:
+    def after(self, outcome: AttemptOutcome) -> AttemptDecision:
         """Return what to do after an attempt with this outcome.
 
         A request that may have run is sent again only if its route allows repeats. One that is
         known not to have run is sent to up to `max_attempts` endpoints.
         """
-        if outcome is Outcome.NOT_SENT:
+        if outcome is AttemptOutcome.NOT_SENT:
             self._connect_failures += 1
             has_attempts_left = self._connect_failures < _MAX_CONNECT_FAILURES
-            return Verdict.AGAIN if has_attempts_left else self.give_up()
-        if outcome in (Outcome.FAILED, Outcome.ERRORED):
+            return AttemptDecision.AGAIN if has_attempts_left else self.give_up()
+        if outcome in (AttemptOutcome.FAILED, AttemptOutcome.ERRORED):
             self.may_have_run = True
         if not self.may_send_again:
-            return Verdict.DELIVER if outcome is Outcome.ERRORED else self.give_up()
-        may_repeat = outcome is Outcome.DECLINED or self.repeat is not Repeat.NEVER
+            return AttemptDecision.DELIVER if outcome is AttemptOutcome.ERRORED else self.give_up()
+        may_repeat = outcome is AttemptOutcome.DECLINED or self.repeat is not RepeatPolicy.NEVER
         if may_repeat and self.sends < self.max_attempts:
-            return Verdict.AGAIN
-        return Verdict.DELIVER if outcome is Outcome.ERRORED else self.give_up()
+            return AttemptDecision.AGAIN
+        return AttemptDecision.DELIVER if outcome is AttemptOutcome.ERRORED else self.give_up()
 
-    def give_up(self) -> Verdict:
+    def give_up(self) -> AttemptDecision:
         """Return how to end without an answer: REFUSE only if the request certainly did not run."""
-        return Verdict.FAIL if self.may_have_run else Verdict.REFUSE
+        return AttemptDecision.FAIL if self.may_have_run else AttemptDecision.REFUSE
--- a/src/beryljunction/routing/fleet.py
+++ b/src/beryljunction/routing/fleet.py
@@ -9,14 +9,14 @@
     "Account",
     "CallerLimits",
     "FleetConfig",
-    "Repeat",
+    "RepeatPolicy",
     "Route",
     "Service",
     "WeightedService",
 ]
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """Whether the requests of a route may be repeated.
 
     Attributes:
@@ -53,7 +53,7 @@
     host: str
     path_prefix: str
     targets: tuple[WeightedService, ...]
-    repeat: Repeat
+    repeat: RepeatPolicy
     streamed: bool
     timeout_ms: int
     max_attempts: int
--- a/testing/test_attempt_plan.py
+++ b/testing/test_attempt_plan.py
@@ -1,6 +1,12 @@
 import pytest
 
-from beryljunction.routing import AttemptPlan, Outcome, Repeat, RetryShare, Verdict
+from beryljunction.routing import (
+    AttemptDecision,
+    AttemptOutcome,
+    AttemptPlan,
+    RepeatPolicy,
+    RetryShare,
+)
 
 
 def plan_of(repeat, max_attempts, requests=100):
@@ -16,57 +22,57 @@
 
         It must not be reported as not run either, since its caller would send it again.
         """
-        plan = plan_of(Repeat.NEVER, max_attempts=3)
+        plan = plan_of(RepeatPolicy.NEVER, max_attempts=3)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.FAILED) is Verdict.FAIL
+        assert plan.after(AttemptOutcome.FAILED) is AttemptDecision.FAIL
 
-    @pytest.mark.parametrize("repeat", [Repeat.FREELY, Repeat.RESUME])
+    @pytest.mark.parametrize("repeat", [RepeatPolicy.FREELY, RepeatPolicy.RESUME])
     def test_repeatable_request_is_sent_to_another_endpoint(self, repeat):
         plan = plan_of(repeat, max_attempts=2)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.FAILED) is Verdict.AGAIN
+        assert plan.after(AttemptOutcome.FAILED) is AttemptDecision.AGAIN
         assert plan.before_send(0.0)
-        assert plan.after(Outcome.FAILED) is Verdict.FAIL
+        assert plan.after(AttemptOutcome.FAILED) is AttemptDecision.FAIL
 
     def test_declined_request_is_refused_as_not_run(self):
-        plan = plan_of(Repeat.NEVER, max_attempts=1)
+        plan = plan_of(RepeatPolicy.NEVER, max_attempts=1)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.DECLINED) is Verdict.REFUSE
+        assert plan.after(AttemptOutcome.DECLINED) is AttemptDecision.REFUSE
 
     def test_declined_request_is_sent_again_up_to_max_attempts(self):
-        plan = plan_of(Repeat.NEVER, max_attempts=2)
+        plan = plan_of(RepeatPolicy.NEVER, max_attempts=2)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.DECLINED) is Verdict.AGAIN
+        assert plan.after(AttemptOutcome.DECLINED) is AttemptDecision.AGAIN
 
     def test_request_declined_after_a_failure_may_have_run(self):
         """The first endpoint, whose answer broke off, may have run the request."""
-        plan = plan_of(Repeat.FREELY, max_attempts=2)
+        plan = plan_of(RepeatPolicy.FREELY, max_attempts=2)
         plan.before_send(0.0)
-        plan.after(Outcome.FAILED)
+        plan.after(AttemptOutcome.FAILED)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.DECLINED) is Verdict.FAIL
+        assert plan.after(AttemptOutcome.DECLINED) is AttemptDecision.FAIL
 
     def test_failed_connection_does_not_count_as_an_attempt(self):
-        plan = plan_of(Repeat.NEVER, max_attempts=1)
+        plan = plan_of(RepeatPolicy.NEVER, max_attempts=1)
 
-        verdicts = [plan.after(Outcome.NOT_SENT) for _ in range(4)]
+        decisions = [plan.after(AttemptOutcome.NOT_SENT) for _ in range(4)]
 
-        assert verdicts == [Verdict.AGAIN] * 3 + [Verdict.REFUSE]
+        assert decisions == [AttemptDecision.AGAIN] * 3 + [AttemptDecision.REFUSE]
 
     def test_error_of_the_last_endpoint_is_delivered(self):
-        plan = plan_of(Repeat.FREELY, max_attempts=2)
+        plan = plan_of(RepeatPolicy.FREELY, max_attempts=2)
         plan.before_send(0.0)
-        assert plan.after(Outcome.ERRORED) is Verdict.AGAIN
+        assert plan.after(AttemptOutcome.ERRORED) is AttemptDecision.AGAIN
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.ERRORED) is Verdict.DELIVER
+        assert plan.after(AttemptOutcome.ERRORED) is AttemptDecision.DELIVER
 
     def test_retries_use_up_the_retry_share(self):
-        plan = plan_of(Repeat.FREELY, max_attempts=5, requests=5)
+        plan = plan_of(RepeatPolicy.FREELY, max_attempts=5, requests=5)
 
         assert [plan.before_send(0.0) for _ in range(3)] == [True, True, False]
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -23,13 +23,13 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import headers
 from beryljunction.routing import (
+    AttemptDecision,
+    AttemptOutcome,
     AttemptPlan,
     CrashTable,
     EndpointRegistry,
-    Outcome,
     RetryShare,
     SettingsLease,
-    Verdict,
 )
 
 # Enough for each removed safeguard to be found by the seeds below; each run takes up to 20 s.
@@ -69,14 +69,14 @@
 
 def send_again_what_may_have_run(patch):
     def after(self, outcome):
-        again = outcome is not Outcome.ERRORED and self.sends < 3
-        return Verdict.AGAIN if again else self.give_up()
+        again = outcome is not AttemptOutcome.ERRORED and self.sends < 3
+        return AttemptDecision.AGAIN if again else self.give_up()
 
     patch.setattr(AttemptPlan, "after", after)
 
 
 def call_everything_not_run(patch):
-    patch.setattr(AttemptPlan, "give_up", lambda self: Verdict.REFUSE)
+    patch.setattr(AttemptPlan, "give_up", lambda self: AttemptDecision.REFUSE)
 
 
 def take_answers_of_other_requests(patch):
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -7,19 +7,19 @@
 from beryljunction.errors import SettingsError
 from beryljunction.platform import read_host_settings
 from beryljunction.routing import (
+    AttemptDecision,
+    AttemptOutcome,
     AttemptPlan,
     CacheAwarePlacement,
     LoadReport,
     Mechanisms,
     MovedSession,
-    Outcome,
     PlacementRequest,
     PlainPlacement,
     PrefillPlan,
     PromptParts,
-    Repeat,
+    RepeatPolicy,
     RetryShare,
-    Verdict,
     healthy_endpoints,
     mechanisms_of,
     weighted_loads,
@@ -224,11 +224,11 @@
 
     def test_without_second_sends_a_failed_request_is_not_sent_again(self):
         share = RetryShare(1.0, 10.0, 100)
-        plan = AttemptPlan(Repeat.FREELY, 3, share, may_send_again=False)
+        plan = AttemptPlan(RepeatPolicy.FREELY, 3, share, may_send_again=False)
         plan.before_send(0.0)
 
-        assert plan.after(Outcome.ERRORED) is Verdict.DELIVER
-        assert plan.after(Outcome.DECLINED) is Verdict.FAIL
+        assert plan.after(AttemptOutcome.ERRORED) is AttemptDecision.DELIVER
+        assert plan.after(AttemptOutcome.DECLINED) is AttemptDecision.FAIL
 
 
 class TestCommands:
--- a/testing/test_records.py
+++ b/testing/test_records.py
@@ -3,7 +3,7 @@
 import pytest
 
 from beryljunction.platform import Unusable, decode_config, decode_endpoint
-from beryljunction.routing import Repeat
+from beryljunction.routing import RepeatPolicy
 
 ROUTE = {
     "name": "r",
@@ -30,7 +30,7 @@
         decoded = config(tenants=[{"name": "acme", "api-keys": ["k1", "k2"], "priority": 3}])
 
         route = decoded.route_for("shop.EXAMPLE", "/a/b")
-        assert (route.repeat, route.streamed, route.timeout_ms) == (Repeat.RESUME, True, 6000)
+        assert (route.repeat, route.streamed, route.timeout_ms) == (RepeatPolicy.RESUME, True, 6000)
         assert [target.service for target in route.targets] == ["x", "y"]
         assert decoded.accounts["k2"].priority == 3
         assert decoded.services["x"].is_engine
@@ -62,7 +62,7 @@
     def test_route_of_unknown_kind_is_never_retried(self):
         decoded = config(routes=[{**ROUTE, "kind": "batched", "resume-streams": False}])
 
-        assert decoded.route_for("shop.example", "/a/").repeat is Repeat.NEVER
+        assert decoded.route_for("shop.example", "/a/").repeat is RepeatPolicy.NEVER
 
     def test_fleet_without_client_accounts_needs_no_api_key(self):
         assert config().accounts is None
