--- a/src/beryljunction/gateway/schedules.py
+++ b/src/beryljunction/gateway/schedules.py
@@ -113,7 +113,7 @@
         fan_out = self._state.fan_out
         while not fan_out.is_first_reader:
             known_age_s = age_s(boot_time_s())
-            left_s = fan_out.ask_after_s(bound.bound_s, self._jitter) - known_age_s
+            left_s = fan_out.read_after_s(bound.bound_s, self._jitter) - known_age_s
             if left_s <= 0.0 or math.isnan(left_s):
                 self._log_stand_in(topic, known_age_s)
                 return
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -31,7 +31,7 @@
     RetryShare,
     Service,
     SettingsLease,
-    StoreContact,
+    StoreReachability,
     ZoneChange,
     healthy_endpoints,
     hear_loads,
@@ -73,7 +73,7 @@
         self.lease = SettingsLease(bounds.revocation_ms / 1000)
         self.endpoints_known = Confirmation()
         self.addresses_known = Confirmation()
-        self.contact = StoreContact(2 * bounds.heartbeat_ms / 1000)
+        self.contact = StoreReachability(2 * bounds.heartbeat_ms / 1000)
         self.registry = EndpointRegistry(self.contact)
         self.evacuations = Evacuations()
         self.era = 0
@@ -219,8 +219,8 @@
         usable = self.registry.usable(service, now_s)
         healthy = healthy_endpoints(usable, now_s, self.mechanisms)
         rows = [row for row in healthy if row not in tried]
-        opens_in_s = 0.0 if usable else self.registry.opens_in_s(service, now_s)
-        return retry_after_s(rows, left_s, self.random, now_s, opens_in_s)
+        available_in_s = 0.0 if usable else self.registry.available_in_s(service, now_s)
+        return retry_after_s(rows, left_s, self.random, now_s, available_in_s)
 
     def reading(
         self, service: str, chosen: KnownEndpoint, request: PlacementRequest
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -19,7 +19,7 @@
     Unavailable,
     era_of,
 )
-from beryljunction.routing import Confirmation, StoreContact
+from beryljunction.routing import Confirmation, StoreReachability
 
 __all__ = ["Take", "TopicReader", "paced", "rest_until_back"]
 
@@ -213,14 +213,14 @@
     return asked_s + wait_s if is_waited_out else asked_s
 
 
-async def rest_until_back(contact: StoreContact, longest_s: float = _MAX_PAUSE_S) -> None:
+async def rest_until_back(reachability: StoreReachability, longest_s: float = _MAX_PAUSE_S) -> None:
     """Pause after a failed read until another read succeeds, or for a limited time.
 
     Readers that take turns are enough to find out when the store is back, and each refused call
     costs money.
     """
     failed_s = boot_time_s()
-    while contact.confirmed_s < failed_s and boot_time_s() - failed_s < longest_s:
+    while reachability.confirmed_s < failed_s and boot_time_s() - failed_s < longest_s:
         await anyio.sleep(FAILED_PAUSE_S)
 
 
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -5,7 +5,7 @@
 from beryljunction.routing.budget import RetryShare
 from beryljunction.routing.cold import ColdStartLimit, ColdStartLimiter
 from beryljunction.routing.confirmation import STORE, AgeBound, Confirmation
-from beryljunction.routing.contact import StoreContact
+from beryljunction.routing.contact import StoreReachability
 from beryljunction.routing.crashes import Crash, CrashTable, owners_of
 from beryljunction.routing.digest import request_digest
 from beryljunction.routing.endpoints import EndpointRegistry
@@ -85,7 +85,7 @@
     "Service",
     "STORE",
     "SettingsLease",
-    "StoreContact",
+    "StoreReachability",
     "AttemptDecision",
     "CacheAwarePlacement",
     "PrefixDirectory",
--- a/src/beryljunction/routing/admitting.py
+++ b/src/beryljunction/routing/admitting.py
@@ -56,14 +56,14 @@
         return Denial(DenialReason.NO_SETTINGS, is_final=False)
     route = config.route_for(host, path)
     if route is None:
-        return Denial(DenialReason.NO_ROUTE, lease.allows_denial(now_s))
+        return Denial(DenialReason.NO_ROUTE, lease.allows_final_denial(now_s))
     if config.accounts is None:
         return Admitted(route, None)
     account = config.accounts.get(api_key) if api_key is not None else None
     if route.allows_anonymous and account is None:
         return Admitted(route, None)
     if account is None:
-        return Denial(DenialReason.UNKNOWN_KEY, lease.allows_denial(now_s))
+        return Denial(DenialReason.UNKNOWN_KEY, lease.allows_final_denial(now_s))
     if not lease.allows_keys(now_s):
         return Denial(DenialReason.SETTINGS_TOO_OLD, is_final=False)
     return Admitted(route, account)
--- a/src/beryljunction/routing/endpoints.py
+++ b/src/beryljunction/routing/endpoints.py
@@ -3,7 +3,7 @@
 import collections
 from collections.abc import Iterable
 
-from beryljunction.routing.contact import StoreContact
+from beryljunction.routing.contact import StoreReachability
 from beryljunction.routing.knownendpoint import EndpointRecord, KnownEndpoint
 
 __all__ = ["EndpointRegistry"]
@@ -27,12 +27,12 @@
     endpoint stated in its answers still holds.
 
     Args:
-        contact: Knows when the store recovered from an outage.
+        reachability: Knows when the store recovered from an outage.
     """
 
-    def __init__(self, contact: StoreContact | None = None) -> None:
+    def __init__(self, reachability: StoreReachability | None = None) -> None:
         self._rows: dict[str, KnownEndpoint] = {}
-        self._contact = contact or StoreContact()
+        self._reachability = reachability or StoreReachability()
         self._evacuated: frozenset[str] = frozenset()
         self._departed: collections.OrderedDict[str, KnownEndpoint] = collections.OrderedDict()
         self.is_loaded = False
@@ -114,7 +114,7 @@
         if known is None:
             return None
         if known.kept_until_s is None:
-            known.kept_until_s = self._contact.regained_s + _REREGISTRATION_S
+            known.kept_until_s = self._reachability.recovered_s + _REREGISTRATION_S
         if known.has_said_leaving or known.kept_until_s <= now_s:
             self._drop(endpoint_id)
         return known
@@ -151,7 +151,7 @@
         self.expire(now_s)
         return [row for row in self._rows.values() if row.record.service == service and row.is_open]
 
-    def opens_in_s(self, service: str, now_s: float) -> float:
+    def available_in_s(self, service: str, now_s: float) -> float:
         """Return the time until some endpoint of a service takes requests; 0 if one does now."""
         until_s = [row.paused_until_s for row in self.open(service, now_s)]
         return max(0.0, min(until_s, default=now_s) - now_s)
--- a/src/beryljunction/routing/fanout.py
+++ b/src/beryljunction/routing/fanout.py
@@ -127,7 +127,7 @@
         first = _READER_COUNT + self._position * _CHILDREN_PER_ENTRY
         return host in self._order[first : first + _CHILDREN_PER_ENTRY]
 
-    def ask_after_s(self, bound_s: float, draw: float) -> float:
+    def read_after_s(self, bound_s: float, draw: float) -> float:
         """Return the age of records at which this entry reads the store itself.
 
         Args:
--- a/src/beryljunction/routing/lease.py
+++ b/src/beryljunction/routing/lease.py
@@ -48,7 +48,7 @@
         """Return whether an API key found in the settings may still be honoured."""
         return self.age_s(now_s) < self.revocation_s - _MARGIN_S
 
-    def allows_denial(self, now_s: float) -> bool:
+    def allows_final_denial(self, now_s: float) -> bool:
         """Return whether a request with an unknown route or key may be denied for good.
 
         A connected entry receives changes at once, however old its last confirmation is. One that
--- a/src/beryljunction/routing/refusing.py
+++ b/src/beryljunction/routing/refusing.py
@@ -29,7 +29,7 @@
     left_s: float | None,
     draw: random.Random,
     now_s: float,
-    opens_in_s: float = 0.0,
+    available_in_s: float = 0.0,
 ) -> float:
     """Return the pause that a refused caller is told.
 
@@ -41,13 +41,13 @@
         left_s: Remaining time of the caller; None if it stated none.
         draw: Random source of the spread.
         now_s: Time on the clock of the endpoints' loads.
-        opens_in_s: Time until an endpoint takes requests at all.
+        available_in_s: Time until an endpoint takes requests at all.
     """
     has_room = any(row.load(now_s) < row.record.slots * _ROOM_SHARE for row in rows)
     pause_s, spread_s = (
         (_ROOM_PAUSE_S, _ROOM_SPREAD_S) if has_room else (_FULL_PAUSE_S, _FULL_SPREAD_S)
     )
-    pause_s = max(pause_s, opens_in_s) + draw.random() * spread_s
+    pause_s = max(pause_s, available_in_s) + draw.random() * spread_s
     if left_s is not None:
         pause_s = min(pause_s, left_s * _MAX_PAUSE_SHARE)
     return max(_MIN_PAUSE_S, math.floor(pause_s * _STEPS_PER_S) / _STEPS_PER_S)
--- a/testing/test_endpoint_registry.py
+++ b/testing/test_endpoint_registry.py
@@ -1,19 +1,19 @@
-from beryljunction.routing import EndpointRegistry, LoadReport, StoreContact
+from beryljunction.routing import EndpointRegistry, LoadReport, StoreReachability
 from routing_fakes import endpoint
 
 
-def registry_of(*records, contact=None):
-    registry = EndpointRegistry(contact)
+def registry_of(*records, reachability=None):
+    registry = EndpointRegistry(reachability)
     registry.replace(records, 0.0)
     return registry
 
 
-def regained(at_s):
+def recovered_at(at_s):
     """Return the contact of an entry that saw the store recover."""
-    contact = StoreContact()
-    contact.note_failure()
-    contact.note_answer(at_s, at_s)
-    return contact
+    reachability = StoreReachability()
+    reachability.note_failure()
+    reachability.note_answer(at_s, at_s)
+    return reachability
 
 
 def names(registry, now_s=100.0, service="engine"):
@@ -88,7 +88,7 @@
         Callers would be refused until each endpoint has written its record again, about two seconds
         after the store has recovered.
         """
-        registry = registry_of(endpoint("a"), endpoint("b"), contact=regained(60.0))
+        registry = registry_of(endpoint("a"), endpoint("b"), reachability=recovered_at(60.0))
 
         registry.remove("a", 60.1)
         registry.remove("b", 60.1)
@@ -99,21 +99,21 @@
 
     def test_endpoint_that_was_leaving_before_the_outage_is_dropped(self):
         leaving = endpoint("b", is_draining=True)
-        registry = registry_of(endpoint("a"), leaving, contact=regained(60.0))
+        registry = registry_of(endpoint("a"), leaving, reachability=recovered_at(60.0))
 
         registry.remove("b", 60.1)
 
         assert registry.find("b") is None
 
     def test_removal_long_after_an_outage_is_final(self):
-        registry = registry_of(endpoint("a"), contact=regained(60.0))
+        registry = registry_of(endpoint("a"), reachability=recovered_at(60.0))
 
         registry.remove("a", 63.0)
 
         assert names(registry, 63.0) == []
 
     def test_endpoint_missing_from_a_full_list_after_an_outage_is_kept_for_a_while(self):
-        registry = registry_of(endpoint("a"), endpoint("b"), contact=regained(60.0))
+        registry = registry_of(endpoint("a"), endpoint("b"), reachability=recovered_at(60.0))
 
         registry.replace([endpoint("b")], 60.0)
 
@@ -122,12 +122,12 @@
 
     def test_later_recovery_does_not_extend_the_deadline(self):
         """Guards against keeping a departed endpoint longer with each later recovery."""
-        contact = regained(60.0)
-        registry = registry_of(endpoint("a"), contact=contact)
+        reachability = recovered_at(60.0)
+        registry = registry_of(endpoint("a"), reachability=reachability)
         registry.remove("a", 60.1)
 
-        contact.note_failure()
-        contact.note_answer(63.0, 63.0)
+        reachability.note_failure()
+        reachability.note_answer(63.0, 63.0)
         registry.remove("a", 63.0)
 
         assert names(registry, 63.1) == []
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -6,7 +6,7 @@
 from beryljunction.fuzz.platform.actors import Behaviour
 from beryljunction.fuzz.platform.world import ENTRIES, PlatformWorld, behave
 from beryljunction.platform.requests import is_leaving, pause_s_of
-from beryljunction.routing import EndpointRegistry, StoreContact, retry_after_s
+from beryljunction.routing import EndpointRegistry, StoreReachability, retry_after_s
 from platform_world import open_world, route
 from routing_fakes import endpoint
 
@@ -194,9 +194,9 @@
 
     def test_leaving_endpoint_is_not_kept_without_a_record(self):
         """Guards against sending requests to a departed endpoint for two more seconds."""
-        contact = StoreContact()
-        contact.regained_s = 0.5
-        registry = EndpointRegistry(contact)
+        reachability = StoreReachability()
+        reachability.recovered_s = 0.5
+        registry = EndpointRegistry(reachability)
         registry.replace([endpoint("e1"), endpoint("e2")], 0.0)
         registry.find("e1").leaving_s = 0.5
         registry.remove("e1", 1.0)
--- a/testing/test_fanout.py
+++ b/testing/test_fanout.py
@@ -68,7 +68,7 @@
         ends = {}
         ready_s = SettingsLease(5.0).ready_s
         for view in fleet(350).values():
-            first, last = view.ask_after_s(ready_s, 0.0), view.ask_after_s(ready_s, 0.999)
+            first, last = view.read_after_s(ready_s, 0.0), view.read_after_s(ready_s, 0.999)
             ends[view.depth] = first, last
 
         assert ends[1][1] <= ends[2][0]
@@ -79,9 +79,9 @@
     def test_each_entry_reads_within_the_bound_after_those_above_it(self, bound_s):
         bound = AgeBound(bound_s)
         views = list(fleet(350).values())
-        ranked = sorted(view.ask_after_s(bound_s, 0.0) for view in views if view.is_reader)
+        ranked = sorted(view.read_after_s(bound_s, 0.0) for view in views if view.is_reader)
         below = [view for view in views if not view.is_reader]
 
         assert ranked[1] > max(2 * bound.read_interval_s, bound.confirm_interval_s)
-        assert ranked[-1] < min(view.ask_after_s(bound_s, 0.0) for view in below)
-        assert max(view.ask_after_s(bound_s, 0.999) for view in below) < 0.9 * bound_s
+        assert ranked[-1] < min(view.read_after_s(bound_s, 0.0) for view in below)
+        assert max(view.read_after_s(bound_s, 0.999) for view in below) < 0.9 * bound_s
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -4,7 +4,7 @@
 
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.platform import Record
-from beryljunction.routing import EndpointRegistry, Evacuations, StoreContact
+from beryljunction.routing import EndpointRegistry, Evacuations, StoreReachability
 from fanout_world import FleetWorld, RecordHistory
 
 SEEDS = (*range(1, 9), 10, 14, 17)
@@ -40,20 +40,20 @@
     def test_expiry_extended_by_each_reconnecting_host_is_detected(self, monkeypatch):
         def note_answer(self, asked_s, now_s):
             if self._has_failed_read:
-                self.regained_s = now_s
+                self.recovered_s = now_s
             self._has_failed_read = False
 
-        def note_update(self, asked_s, regained_s, now_s):
-            self.regained_s = max(self.regained_s, regained_s or 0.0)
+        def note_update(self, asked_s, recovered_s, now_s):
+            self.recovered_s = max(self.recovered_s, recovered_s or 0.0)
 
         def expire(self, now_s):
             for row in self._rows.values():
                 if row.kept_until_s is not None:
-                    row.kept_until_s = self._contact.regained_s + 2.0
+                    row.kept_until_s = self._reachability.recovered_s + 2.0
             ORIGINAL(self, now_s)
 
-        monkeypatch.setattr(StoreContact, "note_answer", note_answer)
-        monkeypatch.setattr(StoreContact, "note_update", note_update)
+        monkeypatch.setattr(StoreReachability, "note_answer", note_answer)
+        monkeypatch.setattr(StoreReachability, "note_update", note_update)
         monkeypatch.setattr(EndpointRegistry, "expire", expire)
 
         assert self.finds_violation()
--- a/testing/test_lease.py
+++ b/testing/test_lease.py
@@ -9,7 +9,7 @@
 
         assert lease.age_s(100.0) == math.inf
         assert not lease.allows_keys(100.0)
-        assert not lease.allows_denial(100.0)
+        assert not lease.allows_final_denial(100.0)
         assert not lease.is_ready(100.0)
 
     def test_age_counts_from_when_the_store_was_asked(self):
@@ -57,5 +57,5 @@
         lease = SettingsLease(revocation_s=5.0)
         lease.confirm(0.0)
 
-        assert lease.allows_denial(2.9)
-        assert not lease.allows_denial(3.1)
+        assert lease.allows_final_denial(2.9)
+        assert not lease.allows_final_denial(3.1)
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -430,7 +430,7 @@
 
     def test_fleet_without_fallback_goes_stale(self, monkeypatch):
         monkeypatch.setattr(
-            "beryljunction.routing.FanOut.ask_after_s", lambda self, revocation_s, draw: 1e9
+            "beryljunction.routing.FanOut.read_after_s", lambda self, revocation_s, draw: 1e9
         )
         monkeypatch.setattr("beryljunction.gateway.peers.needs_peers", lambda *_: False)
         with FleetWorld(22) as world:
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.registration import Registration
 from beryljunction.platform import FLEET_CONFIG, Expired, HttpStore, Newest, Records, Unavailable
 from beryljunction.platform.positions import era_of, offset_of, position_of
-from beryljunction.routing import EndpointRegistry, StoreContact
+from beryljunction.routing import EndpointRegistry, StoreReachability
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreModel, PlatformStoreStandIn
 from fanout_world import FleetWorld, StoreFault
@@ -348,10 +348,10 @@
 
 class TestRegistry:
     def test_restoration_is_treated_like_the_end_of_an_outage(self):
-        contact = StoreContact()
-        registry = EndpointRegistry(contact)
+        reachability = StoreReachability()
+        registry = EndpointRegistry(reachability)
         registry.put(endpoint("e1"), 0.0)
-        contact.note_restored(10.0)
+        reachability.note_restored(10.0)
         registry.replace([], 10.0)
 
         assert len(registry.usable("engine", 11.9)) == 1
