--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -18,7 +18,7 @@
     decode_config,
     decode_evacuation,
 )
-from beryljunction.routing import needs_peers
+from beryljunction.routing import should_ask_peers
 
 __all__ = ["ConfigWatcher"]
 
@@ -123,7 +123,7 @@
 
         A read that is only late does not count, since the host may be busy.
         """
-        is_due = needs_peers(self.age_s(now_s), self._state.lease.revocation_s)
+        is_due = should_ask_peers(self.age_s(now_s), self._state.lease.revocation_s)
         return self._has_last_read_failed and (is_due or self._schedule.is_reader)
 
     def apply_update(self, host: str, version: int, value: bytes | None, asked_s: float) -> None:
--- a/src/beryljunction/gateway/news.py
+++ b/src/beryljunction/gateway/news.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.gateway.fields import read_rows, read_start, read_text
-from beryljunction.routing import LoadNews, MovedSession
+from beryljunction.routing import LoadSample, MovedSession
 
 __all__ = ["News"]
 
@@ -31,7 +31,7 @@
     host: str
     life: str
     moved: tuple[MovedSession, ...] = ()
-    loads: tuple[LoadNews, ...] = ()
+    loads: tuple[LoadSample, ...] = ()
 
     def encode(self) -> bytes:
         """Return it as JSON."""
@@ -74,10 +74,10 @@
     )
 
 
-def _decode_load(endpoint_id: Any, started_ms: Any, requests: Any, age_s: Any) -> LoadNews:
+def _decode_load(endpoint_id: Any, started_ms: Any, requests: Any, age_s: Any) -> LoadSample:
     if not isinstance(requests, int) or not 0 <= requests <= _MAX_REQUESTS:
         raise ValueError(f"expected 0 to {_MAX_REQUESTS} requests, got {requests!r}")
-    return LoadNews(read_start(endpoint_id, started_ms), requests, _age(age_s))
+    return LoadSample(read_start(endpoint_id, started_ms), requests, _age(age_s))
 
 
 def _age(age_s: Any) -> float:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -17,7 +17,7 @@
 from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updatelink import UPDATE_PATH
-from beryljunction.routing import Address, CallerLimits, PeerTable, needs_peers
+from beryljunction.routing import Address, CallerLimits, PeerTable, should_ask_peers
 
 __all__ = ["PeerConfirmation", "HttpPeerLink", "PeerHandler", "PeerLink"]
 
@@ -96,7 +96,7 @@
 
     def _apply_news(self, body: bytes) -> bytes:
         news = News.decode(body)
-        self._peers.greet(news.host, news.life)
+        self._peers.note_incarnation(news.host, news.life)
         self._state.learn(news.moved, news.loads)
         return b""
 
@@ -210,7 +210,7 @@
     async def step(self) -> None:
         """Ask one peer if the last confirmation is so old that the store seems unreachable."""
         lease = self._state.lease
-        if not needs_peers(self._config.age_s(boot_time_s()), lease.revocation_s):
+        if not should_ask_peers(self._config.age_s(boot_time_s()), lease.revocation_s):
             self._log_peer_confirmation(self._config.told_by)
             return
         chosen = self._peers.choose(boot_time_s())
@@ -239,7 +239,7 @@
         lease.confirm(asked_s - known.age_s)
         self._endpoints.confirm_to(known.offset, asked_s - known.endpoints_age_s, host)
         self._state.news.set()
-        return not needs_peers(known.age_s, lease.revocation_s)
+        return not should_ask_peers(known.age_s, lease.revocation_s)
 
     def _log_peer_confirmation(self, host: str) -> None:
         """Log when peers start confirming the settings, and when this entry's reads work again.
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -7,7 +7,7 @@
 from beryljunction.gateway.news import News
 from beryljunction.gateway.peers import PeerLink
 from beryljunction.gateway.state import EntryState
-from beryljunction.routing import PeerTable, loads_to_tell
+from beryljunction.routing import PeerTable, loads_to_gossip
 
 __all__ = ["ShareNews"]
 
@@ -45,12 +45,12 @@
         """
         now_s = boot_time_s()
         rows = self._state.registry.rows if self._state.mechanisms.load_news else []
-        loads = loads_to_tell(rows, now_s)
+        loads = loads_to_gossip(rows, now_s)
         moved = self._state.moved
-        for host, address in self._peers.in_turn():
-            if not self._peers.may_answer(host, now_s):
+        for host, address in self._peers.by_last_turn():
+            if not self._peers.is_responsive(host, now_s):
                 continue
-            acked = self._peers.heard(host)
+            acked = self._peers.delivered_up_to(host)
             unsent = moved.since(acked or 0)
             if acked is not None and not unsent and not loads:
                 continue
@@ -58,7 +58,7 @@
             self._peers.take_turn(host)
             news = News(self._state.host.host, self._life, sent, loads)
             if await self._link.tell(address, news.encode()):
-                self._peers.note_told(host, end)
+                self._peers.note_delivered(host, end)
             else:
-                self._peers.note_silent(host, now_s)
+                self._peers.note_unresponsive(host, now_s)
             return
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -21,7 +21,7 @@
     FanOut,
     FleetConfig,
     KnownEndpoint,
-    LoadNews,
+    LoadSample,
     MovedSession,
     MovedSessions,
     Placement,
@@ -34,7 +34,7 @@
     StoreReachability,
     ZoneChange,
     healthy_endpoints,
-    hear_loads,
+    merge_loads,
     retry_after_s,
 )
 
@@ -246,13 +246,13 @@
         """Tell the placement that an endpoint has joined."""
         self._warm_placement.announce_outranked_sessions(endpoint_id, boot_time_s())
 
-    def learn(self, sessions: Iterable[MovedSession], loads: Iterable[LoadNews]) -> None:
+    def learn(self, sessions: Iterable[MovedSession], loads: Iterable[LoadSample]) -> None:
         """Apply another entry's session placements and its reports of overloaded endpoints."""
         now_s = boot_time_s()
         for session in sessions:
             self._warm_placement.note_moved_session(session, now_s)
         if self.mechanisms.load_news:
-            hear_loads(self.registry.rows, loads, now_s)
+            merge_loads(self.registry.rows, loads, now_s)
 
     def _placement(self, service: str) -> Placement:
         known = self._known_service(service)
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -27,10 +27,10 @@
     LoadReport,
 )
 from beryljunction.routing.lease import SettingsLease
-from beryljunction.routing.loadnews import LoadNews, hear_loads, loads_to_tell
+from beryljunction.routing.loadnews import LoadSample, loads_to_gossip, merge_loads
 from beryljunction.routing.mechanisms import ALL_ON, Mechanism, Mechanisms, mechanisms_of
 from beryljunction.routing.moved import MovedSession, MovedSessions
-from beryljunction.routing.peers import Address, PeerTable, needs_peers
+from beryljunction.routing.peers import Address, PeerTable, should_ask_peers
 from beryljunction.routing.placement import (
     Placement,
     PlacementRequest,
@@ -65,7 +65,7 @@
     "FanOut",
     "FleetConfig",
     "KnownEndpoint",
-    "LoadNews",
+    "LoadSample",
     "LoadReport",
     "Mechanism",
     "Mechanisms",
@@ -92,10 +92,10 @@
     "WeightedService",
     "ZoneChange",
     "admit",
-    "hear_loads",
-    "loads_to_tell",
+    "merge_loads",
+    "loads_to_gossip",
     "mechanisms_of",
-    "needs_peers",
+    "should_ask_peers",
     "owners_of",
     "request_digest",
     "retry_after_s",
--- a/src/beryljunction/routing/loadnews.py
+++ b/src/beryljunction/routing/loadnews.py
@@ -6,7 +6,7 @@
 
 from beryljunction.routing.knownendpoint import KnownEndpoint
 
-__all__ = ["LoadNews", "hear_loads", "loads_to_tell"]
+__all__ = ["LoadSample", "merge_loads", "loads_to_gossip"]
 
 # Older loads are not shared: most of those requests would have ended on arrival.
 _MAX_AGE_S = 2.0
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class LoadNews:
+class LoadSample:
     """Load that an endpoint stated: its requests from all entries.
 
     Attributes:
@@ -29,7 +29,7 @@
     age_s: float
 
 
-def loads_to_tell(rows: Iterable[KnownEndpoint], now_s: float) -> tuple[LoadNews, ...]:
+def loads_to_gossip(rows: Iterable[KnownEndpoint], now_s: float) -> tuple[LoadSample, ...]:
     """Return the latest loads above the mean of their service, both own and received ones.
 
     Without sharing, an entry learns the load of an endpoint only from that endpoint's answers, once
@@ -43,12 +43,12 @@
     above_mean = [row for row in fresh if row.reported_load > means[row.record.service]]
     above_mean.sort(key=lambda row: _age_s(row, now_s))
     return tuple(
-        LoadNews(row.incarnation_id, row.reported_load, _age_s(row, now_s))
+        LoadSample(row.incarnation_id, row.reported_load, _age_s(row, now_s))
         for row in above_mean[:_MAX_ROWS]
     )
 
 
-def hear_loads(rows: Sequence[KnownEndpoint], loads: Iterable[LoadNews], now_s: float) -> None:
+def merge_loads(rows: Sequence[KnownEndpoint], loads: Iterable[LoadSample], now_s: float) -> None:
     """Apply loads that another entry shared; later reports that are known here stay."""
     known = {row.incarnation_id: row for row in rows}
     for load in loads:
--- a/src/beryljunction/routing/peers.py
+++ b/src/beryljunction/routing/peers.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-__all__ = ["Address", "PeerTable", "needs_peers"]
+__all__ = ["Address", "PeerTable", "should_ask_peers"]
 
 Address = tuple[str, int]
 
@@ -18,7 +18,7 @@
 _SKIP_S = 2.0
 
 
-def needs_peers(age_s: float, revocation_s: float) -> bool:
+def should_ask_peers(age_s: float, revocation_s: float) -> bool:
     """Return whether the settings are so old that the store seems to be out of reach.
 
     The store may reject some hosts, or a link to it may be down, while their peers reach it.
@@ -40,9 +40,9 @@
     _draw: random.Random
     _addresses: dict[str, Address] = attrs.field(factory=dict)
     _skipped_until_s: dict[str, float] = attrs.field(factory=dict)
-    _received: dict[str, int] = attrs.field(factory=dict)
+    _delivered: dict[str, int] = attrs.field(factory=dict)
     _incarnations: dict[str, str] = attrs.field(factory=dict)
-    _silent_until_s: dict[str, float] = attrs.field(factory=dict)
+    _unresponsive_until_s: dict[str, float] = attrs.field(factory=dict)
     _last_helper: str | None = None
 
     def __len__(self) -> int:
@@ -62,9 +62,9 @@
         """Forget an entry."""
         self._addresses.pop(host, None)
         self._skipped_until_s.pop(host, None)
-        self._received.pop(host, None)
+        self._delivered.pop(host, None)
         self._incarnations.pop(host, None)
-        self._silent_until_s.pop(host, None)
+        self._unresponsive_until_s.pop(host, None)
 
     def replace(self, addresses: Mapping[str, Address]) -> None:
         """Apply a full list of the other entries."""
@@ -74,36 +74,36 @@
             if self._addresses.get(host) != address:
                 self.put(host, address)
 
-    def in_turn(self) -> list[tuple[str, Address]]:
+    def by_last_turn(self) -> list[tuple[str, Address]]:
         """Return all entries, the one whose turn was longest ago first."""
         return list(self._addresses.items())
 
-    def heard(self, host: str) -> int | None:
+    def delivered_up_to(self, host: str) -> int | None:
         """Return the number up to which an entry has received the news; None for none."""
-        return self._received.get(host)
+        return self._delivered.get(host)
 
-    def may_answer(self, host: str, now_s: float) -> bool:
+    def is_responsive(self, host: str, now_s: float) -> bool:
         """Return whether to send news to an entry: it has not failed to answer recently."""
-        return host in self._addresses and self._silent_until_s.get(host, 0.0) <= now_s
+        return host in self._addresses and self._unresponsive_until_s.get(host, 0.0) <= now_s
 
     def take_turn(self, host: str) -> None:
         """Move an entry to the end of the turns."""
         self._addresses[host] = self._addresses.pop(host)
 
-    def note_told(self, host: str, end: int) -> None:
+    def note_delivered(self, host: str, end: int) -> None:
         """Record that an entry has received all news up to a number."""
         if host in self._addresses:
-            self._received[host] = end
+            self._delivered[host] = end
 
-    def note_silent(self, host: str, now_s: float) -> None:
+    def note_unresponsive(self, host: str, now_s: float) -> None:
         """Record that an entry did not answer; its news is sent again later.
 
         It is still asked for records: a busy peer may miss one message, and an entry that the store
         rejects would otherwise have nobody to ask and refuse its callers for two seconds.
         """
-        self._silent_until_s[host] = now_s + _SKIP_S
+        self._unresponsive_until_s[host] = now_s + _SKIP_S
 
-    def greet(self, host: str, life: str) -> None:
+    def note_incarnation(self, host: str, life: str) -> None:
         """Record that an entry is alive; one that has restarted has received no news yet.
 
         Its own message arrives within a fraction of a second of its start. Its record in the store
@@ -112,8 +112,8 @@
         if self._incarnations.get(host) == life or host not in self._addresses:
             return
         self._incarnations[host] = life
-        self._received.pop(host, None)
-        self._silent_until_s.pop(host, None)
+        self._delivered.pop(host, None)
+        self._unresponsive_until_s.pop(host, None)
 
     def choose(self, now_s: float) -> tuple[str, Address] | None:
         """Return the entry to ask: the one that helped last, else a random one; None for none."""
--- a/testing/imbalance_world.py
+++ b/testing/imbalance_world.py
@@ -11,8 +11,8 @@
     LoadReport,
     PlacementRequest,
     PromptParts,
-    hear_loads,
-    loads_to_tell,
+    loads_to_gossip,
+    merge_loads,
 )
 from routing_fakes import known
 
@@ -116,7 +116,7 @@
 
     def tell(self, now_s, entry, turns):
         peer = next(turns)
-        hear_loads(self.rows[peer], loads_to_tell(self.rows[entry], now_s), now_s)
+        merge_loads(self.rows[peer], loads_to_gossip(self.rows[entry], now_s), now_s)
         self.schedule(now_s + NEWS_S, self.tell, entry, turns)
 
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -18,7 +18,7 @@
 from beryljunction.listening import open_listener
 from beryljunction.platform import HostBounds, HostSettings, Record, Unavailable, Written
 from beryljunction.platform.store import Store
-from beryljunction.routing import PeerTable, needs_peers
+from beryljunction.routing import PeerTable, should_ask_peers
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreStandIn
 from platform_world import Lines, open_world, route
@@ -60,12 +60,12 @@
             Known.decode(data)
 
 
-class TestNeedsPeers:
+class TestShouldAskPeers:
     @pytest.mark.parametrize(
         ("age_s", "needs"), [(1.6, False), (2.0, True), (9.0, True), (float("inf"), False)]
     )
     def test_peers_are_asked_once_the_store_seems_unreachable(self, age_s, needs):
-        assert needs_peers(age_s, 5.0) is needs
+        assert should_ask_peers(age_s, 5.0) is needs
 
 
 class TestPeerTable:
@@ -102,9 +102,9 @@
         ask, the entry would refuse its callers for the next two seconds.
         """
         table = self.table("a")
-        table.note_silent("a", now_s=0.0)
+        table.note_unresponsive("a", now_s=0.0)
 
-        assert not table.may_answer("a", 1.0)
+        assert not table.is_responsive("a", 1.0)
         assert table.choose(1.0)[0] == "a"
 
     def test_oldest_entries_are_dropped_when_the_table_is_full(self):
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -432,7 +432,7 @@
         monkeypatch.setattr(
             "beryljunction.routing.FanOut.read_after_s", lambda self, revocation_s, draw: 1e9
         )
-        monkeypatch.setattr("beryljunction.gateway.peers.needs_peers", lambda *_: False)
+        monkeypatch.setattr("beryljunction.gateway.peers.should_ask_peers", lambda *_: False)
         with FleetWorld(22) as world:
             world.advance(STARTED_S)
             for name in world.readers():
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -12,7 +12,7 @@
 from beryljunction.gateway.sharing import ShareNews
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import HostBounds, HostSettings
-from beryljunction.routing import LoadNews, LoadReport, MovedSession, PeerTable
+from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
 from platform_world import open_world, route
 from routing_fakes import endpoint
 
@@ -23,7 +23,7 @@
     return tuple(MovedSession(("common", f"chat{n}"), ("e1", 7)) for n in range(count))
 
 
-LOAD = LoadNews(("e1", 7), 12, 0.25)
+LOAD = LoadSample(("e1", 7), 12, 0.25)
 
 
 def news(*moved, loads=()):
@@ -168,11 +168,11 @@
         self.moved.note(SESSION, 0.0)
         self.run_steps(share, 2)
 
-        self.peers.greet("a", "2")
+        self.peers.note_incarnation("a", "2")
 
         assert self.run_steps(share, 2) == [("a", 1)]
 
-        self.peers.greet("a", "2")
+        self.peers.note_incarnation("a", "2")
 
         assert self.run_steps(share, 2) == []
 
@@ -190,7 +190,7 @@
         assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
 
         self.link.silent.clear()
-        self.peers.greet("a", "1")
+        self.peers.note_incarnation("a", "1")
 
         assert self.run_steps(share, 4) == [("a", 3)]
 
