--- a/src/beryljunction/cli/mechanisms.py
+++ b/src/beryljunction/cli/mechanisms.py
@@ -7,7 +7,7 @@
 from beryljunction.cli.asking import EXIT_INVALID, EXIT_OK
 from beryljunction.errors import SettingsError
 from beryljunction.platform.deployfile import read_deploy_file
-from beryljunction.routing import Mechanism, mechanisms_of
+from beryljunction.routing import Mechanism, list_switches
 
 __all__ = ["DEPLOY_FILE", "MECHANISMS", "explain_mechanisms"]
 
@@ -33,7 +33,7 @@
     rows = [
         (role.name, row)
         for role in roles
-        for row in mechanisms_of(role.mechanisms)
+        for row in list_switches(role.mechanisms)
         if wanted in ("", row.name)
     ]
     if not rows:
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.events import Events
 from beryljunction.gateway.signals import Signal
 from beryljunction.platform import Record
-from beryljunction.routing import Crash, CrashTable, FanOut, KnownEndpoint, owners_of
+from beryljunction.routing import Crash, CrashTable, FanOut, KnownEndpoint, crash_counting_hosts
 
 __all__ = ["Quarantine", "is_quarantine_key"]
 
@@ -71,7 +71,7 @@
 
     def left_s(self, digest: str) -> float:
         """Return how much longer a request stays in quarantine; 0 if it is not in quarantine."""
-        return self._table.left_s(digest, boot_time_s())
+        return self._table.remaining_s(digest, boot_time_s())
 
     def note_crash(self, digest: str, endpoint: KnownEndpoint) -> None:
         """Record that an endpoint crashed while it ran a request of this entry."""
@@ -96,7 +96,7 @@
         may have missed the announcement.
         """
         for digest in report.served:
-            self._table.acquit(digest)
+            self._table.discard_crashes(digest)
         for digest, left_s in report.quarantined:
             self._apply_quarantine(digest, left_s)
         for crash in report.crashes:
@@ -119,7 +119,7 @@
         return CrashReport(
             tuple(row for row in chosen if isinstance(row, Crash)),
             tuple(row.digest for row in chosen if isinstance(row, _Served)),
-            tuple((digest, self._table.left_s(digest, now_s)) for digest in digests),
+            tuple((digest, self._table.remaining_s(digest, now_s)) for digest in digests),
         )
 
     def note_told(self, host: str, report: CrashReport) -> None:
@@ -163,14 +163,16 @@
         """Return the records to write to the store, each once."""
         digests, self._unsaved = self._unsaved, []
         now_s = boot_time_s()
-        return [_record(digest, self._table.left_s(digest, now_s)) for digest in digests]
+        return [_record(digest, self._table.remaining_s(digest, now_s)) for digest in digests]
 
     def expired_keys(self) -> list[str]:
         """Return the keys of requests whose quarantine has expired, each once."""
         return [_KEY_PREFIX + digest for digest in self._table.expire(boot_time_s())]
 
     def _owners(self, digest: str) -> list[str]:
-        return [host for host in owners_of(digest, self._fan_out.hosts) if host != self._host]
+        return [
+            host for host in crash_counting_hosts(digest, self._fan_out.hosts) if host != self._host
+        ]
 
     def _count_crash(self, crash: Crash) -> None:
         if not self._table.note_crash(crash, boot_time_s()):
--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -6,7 +6,7 @@
 from beryljunction.routing.cold import ColdStartLimit, ColdStartLimiter
 from beryljunction.routing.confirmation import STORE, AgeBound, Confirmation
 from beryljunction.routing.contact import StoreReachability
-from beryljunction.routing.crashes import Crash, CrashTable, owners_of
+from beryljunction.routing.crashes import Crash, CrashTable, crash_counting_hosts
 from beryljunction.routing.digest import request_digest
 from beryljunction.routing.endpoints import EndpointRegistry
 from beryljunction.routing.evacuations import Evacuations, ZoneChange
@@ -28,7 +28,7 @@
 )
 from beryljunction.routing.lease import SettingsLease
 from beryljunction.routing.loadnews import LoadSample, loads_to_gossip, merge_loads
-from beryljunction.routing.mechanisms import ALL_ON, Mechanism, Mechanisms, mechanisms_of
+from beryljunction.routing.mechanisms import ALL_ON, Mechanism, Mechanisms, list_switches
 from beryljunction.routing.moved import MovedSession, MovedSessions
 from beryljunction.routing.peers import Address, PeerTable, should_ask_peers
 from beryljunction.routing.placement import (
@@ -94,9 +94,9 @@
     "admit",
     "merge_loads",
     "loads_to_gossip",
-    "mechanisms_of",
+    "list_switches",
     "should_ask_peers",
-    "owners_of",
+    "crash_counting_hosts",
     "request_digest",
     "retry_after_s",
     "healthy_endpoints",
--- a/src/beryljunction/routing/crashes.py
+++ b/src/beryljunction/routing/crashes.py
@@ -10,7 +10,7 @@
 
 from beryljunction.routing.rendezvous import rendezvous_rank
 
-__all__ = ["Crash", "CrashTable", "owners_of"]
+__all__ = ["Crash", "CrashTable", "crash_counting_hosts"]
 
 # Number of endpoints ended under a request at which it is quarantined.
 _QUARANTINE_CRASHES = 3
@@ -20,7 +20,7 @@
 _SERVED_TTL_S = 10.0
 _MAX_SERVED = 256
 # Entries that count the crashes of a request for the whole fleet; two of them may be down.
-_OWNER_COUNT = 3
+_COUNTING_HOST_COUNT = 3
 
 
 @attrs.frozen
@@ -73,27 +73,27 @@
         """Record that a request was fully served; return True if it had counted crashes."""
         self._served_s[digest] = now_s
         _evict_oldest(self._served_s, digest, _MAX_SERVED)
-        return self.acquit(digest)
+        return self.discard_crashes(digest)
 
-    def acquit(self, digest: str) -> bool:
+    def discard_crashes(self, digest: str) -> bool:
         """Discard the crashes counted for a request; return True if there were any."""
         return self._crashes.pop(digest, None) is not None
 
     def quarantine(self, digest: str, left_s: float, now_s: float) -> bool:
         """Block a request for a while; return False if it is already blocked."""
-        if self.left_s(digest, now_s) > 0.0:
+        if self.remaining_s(digest, now_s) > 0.0:
             return False
         self._quarantined[digest] = now_s + min(left_s, _QUARANTINE_S)
         _evict_oldest(self._quarantined, digest, _MAX_DIGESTS)
         return True
 
-    def left_s(self, digest: str, now_s: float) -> float:
+    def remaining_s(self, digest: str, now_s: float) -> float:
         """Return the remaining quarantine of a request; 0 if it is not quarantined."""
         return max(0.0, self._quarantined.get(digest, -math.inf) - now_s)
 
     def quarantined(self, now_s: float) -> dict[str, float]:
         """Return the remaining quarantine of each quarantined request."""
-        remaining_s = {digest: self.left_s(digest, now_s) for digest in self._quarantined}
+        remaining_s = {digest: self.remaining_s(digest, now_s) for digest in self._quarantined}
         return {digest: left_s for digest, left_s in remaining_s.items() if left_s > 0.0}
 
     def expire(self, now_s: float) -> list[str]:
@@ -104,9 +104,11 @@
         return expired
 
 
-def owners_of(digest: str, hosts: Iterable[str]) -> list[str]:
+def crash_counting_hosts(digest: str, hosts: Iterable[str]) -> list[str]:
     """Return the hosts whose entries count a request's crashes; all entries agree on them."""
-    return heapq.nsmallest(_OWNER_COUNT, hosts, key=lambda host: rendezvous_rank(digest, host))
+    return heapq.nsmallest(
+        _COUNTING_HOST_COUNT, hosts, key=lambda host: rendezvous_rank(digest, host)
+    )
 
 
 def _evict_oldest(rows: collections.OrderedDict[str, Any], key: str, most: int) -> None:
--- a/src/beryljunction/routing/mechanisms.py
+++ b/src/beryljunction/routing/mechanisms.py
@@ -4,7 +4,7 @@
 
 from beryljunction.errors import SettingsError
 
-__all__ = ["ALL_ON", "Mechanism", "Mechanisms", "mechanisms_of"]
+__all__ = ["ALL_ON", "Mechanism", "Mechanisms", "list_switches"]
 
 _VALUES = {"on": True, "off": False}
 
@@ -80,14 +80,14 @@
     @property
     def off(self) -> tuple[str, ...]:
         """Names of the mechanisms that are off."""
-        return tuple(row.name for row in mechanisms_of(self) if not row.is_on)
+        return tuple(row.name for row in list_switches(self) if not row.is_on)
 
 
 ALL_ON = Mechanisms()
 _NAMES = tuple(field.name for field in attrs.fields(Mechanisms))
 
 
-def mechanisms_of(mechanisms: Mechanisms) -> tuple[Mechanism, ...]:
+def list_switches(mechanisms: Mechanisms) -> tuple[Mechanism, ...]:
     """Return every switch with its state and description."""
     return tuple(
         Mechanism(field.name, getattr(mechanisms, field.name), field.metadata["guards"])
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.routing import Crash, CrashTable, owners_of
+from beryljunction.routing import Crash, CrashTable, crash_counting_hosts
 
 HOUR_S = 3_600.0
 
@@ -15,7 +15,7 @@
         table = CrashTable()
 
         assert crashes(table, "e1", "e2", "e3", "e4") == [False, False, True, False]
-        assert table.left_s("d", 0.0) == HOUR_S
+        assert table.remaining_s("d", 0.0) == HOUR_S
 
     def test_endpoint_counts_once_per_incarnation(self):
         table = CrashTable()
@@ -41,7 +41,7 @@
             crashes(table, "e1", "e2", "e3", digest=f"d{number}")
 
         assert len(table) == 4_096
-        assert table.left_s("d4999", 0.0) > 0.0
+        assert table.remaining_s("d4999", 0.0) > 0.0
 
     def test_number_of_crash_counts_is_bounded(self):
         """Guards against memory that grows with each request under which an endpoint ended."""
@@ -85,8 +85,8 @@
         table = CrashTable()
         table.quarantine("d", 60.0, 0.0)
 
-        assert table.left_s("d", 59.0) == 1.0
-        assert table.left_s("d", 60.0) == 0.0
+        assert table.remaining_s("d", 59.0) == 1.0
+        assert table.remaining_s("d", 60.0) == 0.0
         assert table.expire(59.0) == []
         assert table.expire(60.0) == ["d"]
         assert len(table) == 0
@@ -95,7 +95,7 @@
         table = CrashTable()
         table.quarantine("d", 1e12, 0.0)
 
-        assert table.left_s("d", 0.0) == HOUR_S
+        assert table.remaining_s("d", 0.0) == HOUR_S
 
     def test_second_quarantine_changes_nothing(self):
         table = CrashTable()
@@ -105,18 +105,24 @@
         assert table.quarantined(10.0) == {"d": 50.0}
 
 
-class TestOwners:
+class TestCrashCountingHosts:
     @pytest.mark.parametrize("entries", [1, 2, 3, 24, 350])
-    def test_all_entries_agree_on_the_owners(self, entries):
+    def test_all_entries_agree_on_the_counting_hosts(self, entries):
         hosts = [f"h{number}" for number in range(entries)]
 
-        owners = owners_of("d", hosts)
+        counting_hosts = crash_counting_hosts("d", hosts)
 
-        assert owners == owners_of("d", reversed(hosts))
-        assert len(set(owners)) == min(3, entries)
+        assert counting_hosts == crash_counting_hosts("d", reversed(hosts))
+        assert len(set(counting_hosts)) == min(3, entries)
 
-    def test_joining_entry_replaces_at_most_one_owner(self):
+    def test_joining_entry_replaces_at_most_one_counting_host(self):
         hosts = [f"h{number}" for number in range(24)]
 
         for digest in (f"d{number}" for number in range(50)):
-            assert len(set(owners_of(digest, hosts)) & set(owners_of(digest, [*hosts, "new"]))) >= 2
+            assert (
+                len(
+                    set(crash_counting_hosts(digest, hosts))
+                    & set(crash_counting_hosts(digest, [*hosts, "new"]))
+                )
+                >= 2
+            )
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -172,7 +172,7 @@
 
 
 def send_what_is_quarantined(patch):
-    patch.setattr(CrashTable, "left_s", lambda self, digest, now_s: 0.0)
+    patch.setattr(CrashTable, "remaining_s", lambda self, digest, now_s: 0.0)
 
 
 def blame_requests_for_lost_connections(patch):
--- a/testing/test_mechanisms.py
+++ b/testing/test_mechanisms.py
@@ -21,12 +21,12 @@
     RepeatPolicy,
     RetryShare,
     healthy_endpoints,
-    mechanisms_of,
+    list_switches,
     weighted_loads,
 )
 from routing_fakes import known
 
-NAMES = [row.name for row in mechanisms_of(Mechanisms())]
+NAMES = [row.name for row in list_switches(Mechanisms())]
 
 
 def off(name):
@@ -49,7 +49,7 @@
 
     @pytest.mark.parametrize("name", NAMES)
     def test_each_mechanism_has_a_description(self, name):
-        (row,) = [row for row in mechanisms_of(Mechanisms()) if row.name == name]
+        (row,) = [row for row in list_switches(Mechanisms()) if row.name == name]
 
         assert row.is_on
         assert 20 < len(row.guards) < 90
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -11,7 +11,7 @@
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.peers import HttpPeerLink, PeerHandler
 from beryljunction.platform import Record
-from beryljunction.routing import Crash, PeerTable, owners_of, request_digest
+from beryljunction.routing import Crash, PeerTable, crash_counting_hosts, request_digest
 from fanout_world import FleetWorld
 from platform_world import open_world, reset, route
 from routing_fakes import known
@@ -135,14 +135,14 @@
 
     def report_crashes(self, world, count=3):
         """Let entries that don't own this request see its crashes."""
-        owners = owners_of(CRASHES[0].digest, world.members)
-        others = [row for name, row in world.members.items() if name not in owners]
+        counting_hosts = crash_counting_hosts(CRASHES[0].digest, world.members)
+        others = [row for name, row in world.members.items() if name not in counting_hosts]
         rows = (others or list(world.members.values()))[:count]
         for number in range(count):
             crash = CRASHES[number]
             row = rows[number % len(rows)]
             row.state.quarantine.note_crash(crash.digest, known(crash.incarnation_id[0]))
-        return owners
+        return counting_hosts
 
     def is_quarantined_by_all(self, world):
         return world.all_know(lambda state: state.quarantine.left_s(CRASHES[0].digest) > 0.0)
@@ -157,10 +157,10 @@
 
             assert self.is_quarantined_by_all(world)
 
-    def test_two_unreachable_owners_are_tolerated(self):
+    def test_two_unreachable_counting_hosts_are_tolerated(self):
         with FleetWorld(24) as world:
             world.advance(STARTED_S)
-            for name in owners_of(CRASHES[0].digest, world.members)[:2]:
+            for name in crash_counting_hosts(CRASHES[0].digest, world.members)[:2]:
                 world.members[name].is_cut = True
             self.report_crashes(world)
             world.advance(PROPAGATION_S)
@@ -217,8 +217,8 @@
             world.advance(STARTED_S)
             self.report_crashes(world, count=2)
             world.advance(1.0)
-            owners = owners_of(CRASHES[0].digest, world.members)
-            others = [row for name, row in world.members.items() if name not in owners]
+            counting_hosts = crash_counting_hosts(CRASHES[0].digest, world.members)
+            others = [row for name, row in world.members.items() if name not in counting_hosts]
             others[0].state.quarantine.note_served(CRASHES[0].digest)
             world.advance(1.0)
             others[5].state.quarantine.note_crash(CRASHES[2].digest, known("e2"))
