--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -6,7 +6,7 @@
 
 from beryljunction.fuzz.platform.stores import FuzzStore
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.front import Front
+from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.known import Known, known_here
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerLink
@@ -27,7 +27,7 @@
     store: FuzzStore
     state: EntryState
     task: asyncio.Task[None] | None = None
-    front: Front | None = None
+    frontend: CallerFrontend | None = None
     fault_since_s: float | None = None
     endpoints: EndpointWatcher | None = None
     is_alone: bool = False
--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -15,7 +15,7 @@
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.events import Events
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.front import Front
+from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation
 from beryljunction.gateway.state import EntryState
@@ -226,8 +226,8 @@
 
     async def _run_entry(self, entry: FuzzEntry) -> None:
         async with anyio.create_task_group() as group:
-            front = entry.front = Front(entry.state, group)
-            self.loop.network.listeners[entry.address] = lambda: CallerConnection(front)
+            frontend = entry.frontend = CallerFrontend(entry.state, group)
+            self.loop.network.listeners[entry.address] = lambda: CallerConnection(frontend)
             config = ConfigWatcher(entry.store, entry.state)
             endpoints = entry.endpoints = EndpointWatcher(entry.store, entry.state)
             group.start_soon(config.run)
--- a/src/beryljunction/gateway/callers.py
+++ b/src/beryljunction/gateway/callers.py
@@ -32,22 +32,22 @@
     """Interface that serves the requests of caller connections."""
 
     limits: CallerLimits
-    leaving: bool
+    is_draining: bool
 
     @abc.abstractmethod
-    def opened(self, connection: "CallerConnection") -> None:
+    def on_connect(self, connection: "CallerConnection") -> None:
         """Handle a new connection."""
 
     @abc.abstractmethod
-    def closed(self, connection: "CallerConnection") -> None:
+    def on_disconnect(self, connection: "CallerConnection") -> None:
         """Handle the loss of a connection; nothing more can be written to it."""
 
     @abc.abstractmethod
-    def requested(self, connection: "CallerConnection", request: HttpRequest) -> None:
+    def on_request(self, connection: "CallerConnection", request: HttpRequest) -> None:
         """Serve a request that was read completely; called for one per connection at a time."""
 
     @abc.abstractmethod
-    def rejected(self, status: int, problem: str) -> None:
+    def on_reject(self, status: int, problem: str) -> None:
         """Handle a message that was rejected as an invalid request."""
 
 
@@ -74,7 +74,7 @@
         self._writable = anyio.Event()
         self._writable.set()
         self.idle_since_s = 0.0
-        self.begun_s: float | None = None
+        self.headers_started_s: float | None = None
 
     # Connection
 
@@ -83,13 +83,13 @@
         self._transport = cast(asyncio.Transport, transport)
         set_timeouts(transport.get_extra_info("socket"), CALLER_TIMEOUTS)
         self.idle_since_s = boot_time_s()
-        self._handler.opened(self)
+        self._handler.on_connect(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the handler that the caller has disconnected."""
         self._transport = None
         self._writable.set()
-        self._handler.closed(self)
+        self._handler.on_disconnect(self)
 
     def eof_received(self) -> bool:
         """Close the connection when the caller closes its sending side."""
@@ -148,7 +148,7 @@
     def on_message_begin(self) -> None:
         """Start a new request."""
         self._incoming = HttpRequest(b"", b"", [], boot_time_s())
-        self.begun_s = self._incoming.arrived_s
+        self.headers_started_s = self._incoming.arrived_s
         self._body_parts = []
         self._header_bytes = 0
         self._body_bytes = 0
@@ -173,7 +173,7 @@
         request.method = self._parser.get_method()
         request.keeps_alive = self._parser.should_keep_alive()
         request.is_http_10 = self._parser.get_http_version() == "1.0"
-        self.begun_s = None
+        self.headers_started_s = None
         length = request.value(b"content-length")
         if self._parser.should_upgrade():
             # The parser reads no body after an upgrade request, so a body would be lost.
@@ -212,9 +212,9 @@
 
     def _serve(self, request: HttpRequest) -> None:
         self._active = request
-        self._handler.requested(self, request)
+        self._handler.on_request(self, request)
 
-    def reject_slow(self) -> None:
+    def reject_header_timeout(self) -> None:
         """Reject a request whose headers exceed the header timeout."""
         self._reject(408, f"expected headers within {self._handler.limits.header_timeout_ms} ms")
 
@@ -222,9 +222,9 @@
         """Answer an invalid request with an error and close the connection."""
         self._discards_input = True
         self._incoming = None
-        self.begun_s = None
+        self.headers_started_s = None
         self._pipelined.clear()
-        self._handler.rejected(status, problem)
+        self._handler.on_reject(status, problem)
         self._closes_after_answer = True
         if self._active is None:
             self.answer(status, [], f"{problem}\n".encode())
@@ -267,7 +267,7 @@
 
     def _head(self, status: int, headers: Headers) -> bytes:
         keeps = self._active is not None and self._active.keeps_alive
-        if not keeps or self._handler.leaving or self._discards_input:
+        if not keeps or self._handler.is_draining or self._discards_input:
             self._closes_after_answer = True
         lines = [b"HTTP/1.1 %d %b" % (status, phrase_of(status))]
         lines += [b"%b: %b" % header for header in headers]
--- a/src/beryljunction/gateway/front.py
+++ b/src/beryljunction/gateway/front.py
@@ -10,19 +10,19 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import CallerLimits
 
-__all__ = ["Front"]
+__all__ = ["CallerFrontend"]
 
-_SWEEP_INTERVAL_S = 0.5
+_TIMEOUT_CHECK_INTERVAL_S = 0.5
 # Callers reuse connections that were idle for up to four fifths of the idle timeout. The entry
 # closes them this long after the full timeout, so that no request arrives on a closing connection.
 _IDLE_GRACE_S = 1.0
 
 
-class Front(CallerHandler):
+class CallerFrontend(CallerHandler):
     """Serves the caller connections of an entry.
 
     Attributes:
-        leaving: Whether the process is stopping; connections then close after their next answer.
+        is_draining: Whether the process is stopping; connections then close after their next answer.
     """
 
     def __init__(self, state: EntryState, group: anyio.abc.TaskGroup) -> None:
@@ -30,7 +30,7 @@
         self._group = group
         self._connections: set[CallerConnection] = set()
         self._scopes: dict[CallerConnection, anyio.CancelScope] = {}
-        self.leaving = False
+        self.is_draining = False
 
     @property
     def limits(self) -> CallerLimits:  # type: ignore[override]
@@ -43,23 +43,23 @@
         """Number of requests that are not answered yet."""
         return len(self._scopes)
 
-    def opened(self, connection: CallerConnection) -> None:
+    def on_connect(self, connection: CallerConnection) -> None:
         """Track the connection."""
         self._connections.add(connection)
 
-    def closed(self, connection: CallerConnection) -> None:
+    def on_disconnect(self, connection: CallerConnection) -> None:
         """Cancel the request of a caller that disconnected, which also aborts its endpoint call."""
         self._connections.discard(connection)
         scope = self._scopes.get(connection)
         if scope is not None:
             scope.cancel()
 
-    def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
+    def on_request(self, connection: CallerConnection, request: HttpRequest) -> None:
         """Start an exchange for the request."""
         scope = self._scopes[connection] = anyio.CancelScope()
         self._group.start_soon(self._serve, connection, request, scope)
 
-    def rejected(self, status: int, problem: str) -> None:
+    def on_reject(self, status: int, problem: str) -> None:
         """Log a message that was rejected as an invalid request."""
         self._state.events.write("rejected", status=status, problem=problem)
 
@@ -79,9 +79,9 @@
                 if self._scopes.get(connection) is scope:
                     del self._scopes[connection]
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Close each connection after its next answer from now on."""
-        self.leaving = True
+        self.is_draining = True
 
     def close_idle(self) -> None:
         """Close the connections on which no request is being read or served."""
@@ -89,10 +89,10 @@
             if connection.is_idle:
                 connection.close()
 
-    async def sweep(self) -> None:
+    async def close_expired_connections(self) -> None:
         """Close connections that exceed the idle or header timeout, until cancelled."""
         while True:
-            await anyio.sleep(_SWEEP_INTERVAL_S)
+            await anyio.sleep(_TIMEOUT_CHECK_INTERVAL_S)
             now_s = boot_time_s()
             for connection in list(self._connections):
                 self._enforce_timeouts(connection, now_s)
@@ -103,6 +103,6 @@
             if now_s - connection.idle_since_s > limits.idle_timeout_ms / 1000 + _IDLE_GRACE_S:
                 connection.close()
             return
-        begun_s = connection.begun_s
-        if begun_s is not None and now_s - begun_s > limits.header_timeout_ms / 1000:
-            connection.reject_slow()
+        started_s = connection.headers_started_s
+        if started_s is not None and now_s - started_s > limits.header_timeout_ms / 1000:
+            connection.reject_header_timeout()
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -46,12 +46,12 @@
         self._events = events
         self._digests = digests
 
-    def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
+    def on_request(self, connection: CallerConnection, request: HttpRequest) -> None:
         """Answer with status, events, metrics or readiness, depending on the path."""
         answers = {STATUS_PATH: self._status_body, EVENTS_PATH: self._events_body}
         answer = answers.get(request.path)
         if answer is None:
-            super().requested(connection, request)
+            super().on_request(connection, request)
         elif not shows_key(request.value(b"authorization") or b"", self._digests):
             connection.answer(401, [(b"www-authenticate", b"Bearer")], b"")
         else:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -51,22 +51,22 @@
         if updates is not None:
             self._message_handlers[UPDATE_PATH] = updates.take
         self.limits = CallerLimits()
-        self.leaving = False
+        self.is_draining = False
         self._state = state
         self._endpoints = endpoints
         self._peers = peers
 
-    def opened(self, connection: CallerConnection) -> None:
+    def on_connect(self, connection: CallerConnection) -> None:
         """Do nothing."""
 
-    def closed(self, connection: CallerConnection) -> None:
+    def on_disconnect(self, connection: CallerConnection) -> None:
         """Do nothing."""
 
-    def rejected(self, status: int, problem: str) -> None:
+    def on_reject(self, status: int, problem: str) -> None:
         """Log a malformed request."""
         self._state.events.write("peer_rejected", status=status, problem=problem)
 
-    def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
+    def on_request(self, connection: CallerConnection, request: HttpRequest) -> None:
         """Answer a request immediately."""
         handle = self._message_handlers.get(request.path)
         if handle is not None:
--- a/src/beryljunction/gateway/probes.py
+++ b/src/beryljunction/gateway/probes.py
@@ -16,17 +16,17 @@
 
     def __init__(self, is_ready: Callable[[], bool], render: Callable[[], bytes]) -> None:
         self.limits = CallerLimits()
-        self.leaving = False
+        self.is_draining = False
         self._is_ready = is_ready
         self._render = render
 
-    def opened(self, connection: CallerConnection) -> None:
+    def on_connect(self, connection: CallerConnection) -> None:
         """Do nothing."""
 
-    def closed(self, connection: CallerConnection) -> None:
+    def on_disconnect(self, connection: CallerConnection) -> None:
         """Do nothing."""
 
-    def requested(self, connection: CallerConnection, request: HttpRequest) -> None:
+    def on_request(self, connection: CallerConnection, request: HttpRequest) -> None:
         """Answer with the metrics or the readiness."""
         if request.path == METRICS_PATH:
             headers = [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")]
@@ -34,5 +34,5 @@
             return
         connection.answer(200 if self._is_ready() else 503, [], b"")
 
-    def rejected(self, status: int, problem: str) -> None:
+    def on_reject(self, status: int, problem: str) -> None:
         """Do nothing."""
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -16,7 +16,7 @@
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.events import Events
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.front import Front
+from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.operators import OperatorHandler, operator_digests
 from beryljunction.gateway.peers import HttpPeerLink, PeerConfirmation, PeerHandler
@@ -60,15 +60,15 @@
     Args:
         host: Settings of this host, as read at startup.
         events: The event log.
-        early: Listening socket for callers, opened before most modules were imported; None if
+        early_socket: Listening socket for callers, opened before most modules were imported; None if
             there is none.
     """
 
     def __init__(
-        self, host: HostSettings, events: Events, early: socket.socket | None = None
+        self, host: HostSettings, events: Events, early_socket: socket.socket | None = None
     ) -> None:
         self._host = host
-        self._early_socket = early
+        self._early_socket = early_socket
         self._events = events
         self._state = EntryState(host, events)
         self._stopping = anyio.Event()
@@ -76,7 +76,7 @@
     def _is_ready(self) -> bool:
         return not self._stopping.is_set() and self._state.is_ready()
 
-    def _register_gauges(self, front: Front) -> None:
+    def _register_gauges(self, frontend: CallerFrontend) -> None:
         state, metrics = self._state, self._events.metrics
         metrics.watch(
             "beryl_settings_age_seconds",
@@ -116,19 +116,21 @@
             "Requests that may not be sent since endpoints ended under them.",
             lambda: len(state.quarantine),
         )
-        metrics.watch("beryl_requests_in_flight", "Requests here.", lambda: front.in_flight)
+        metrics.watch("beryl_requests_in_flight", "Requests here.", lambda: frontend.in_flight)
         metrics.watch("beryl_ready", "Whether callers are welcome.", self._is_ready)
         metrics.watch("beryl_repeats_left", "Second sends left.", state.repeats_left)
         metrics.watch("beryl_log_lines_left_out", "Lines left out.", lambda: self._events.left_out)
 
-    def _operator_handler(self, front: Front) -> OperatorHandler:
+    def _operator_handler(self, frontend: CallerFrontend) -> OperatorHandler:
         """Return the handler of the metrics address; keep events only if an operator key is set."""
         digests = operator_digests(self._host.operator_keys)
         if digests:
             self._events.keep_latest()
-        return OperatorHandler(self._is_ready, self._events, lambda: self._status(front), digests)
+        return OperatorHandler(
+            self._is_ready, self._events, lambda: self._status(frontend), digests
+        )
 
-    def _status(self, front: Front) -> NodeStatus:
+    def _status(self, frontend: CallerFrontend) -> NodeStatus:
         state = self._state
         now_s = boot_time_s()
         return NodeStatus(
@@ -140,7 +142,7 @@
             endpoints_age_s=_rounded_age_s(state.endpoints_known.age_s(now_s)),
             not_ready="" if self._is_ready() else self._not_ready_reason(),
             endpoints=len(state.registry),
-            in_flight=front.in_flight,
+            in_flight=frontend.in_flight,
             reads_from=self._reads_from(),
             evacuated=self._evacuated(),
             cold_endpoints=state.cold_endpoints(),
@@ -189,13 +191,13 @@
         )
         store = HttpStore(self._host.store, self._log_refused_era)
         async with store, anyio.create_task_group() as group:
-            front = Front(self._state, group)
+            frontend = CallerFrontend(self._state, group)
             probes = ProbeHandler(self._is_ready, self._events.metrics.render)
             callers = self._callers_socket()
             await _listen(probes, self._host.probes)
             if self._host.metrics is not None:
-                await _listen(self._operator_handler(front), self._host.metrics)
-            self._register_gauges(front)
+                await _listen(self._operator_handler(frontend), self._host.metrics)
+            self._register_gauges(frontend)
             is_shared = self._state.mechanisms.shared_reads
             schedule = FanOutSchedule(self._state) if is_shared else ALWAYS_POLL
             config = ConfigWatcher(store, self._state, schedule)
@@ -205,12 +207,12 @@
             with anyio.move_on_after(_FIRST_READ_TIMEOUT_S):
                 await config.is_known.wait()
                 await endpoints.is_known.wait()
-            listener = await _serve(front, callers)
-            group.start_soon(front.sweep)
+            listener = await _serve(frontend, callers)
+            group.start_soon(frontend.close_expired_connections)
             group.start_soon(self._watch_settings_file)
             registration = await self._start_peer_tasks(group, store, config, endpoints, schedule)
             await self._stopping.wait()
-            await self._drain(front, listener)
+            await self._drain(frontend, listener)
             if registration is not None:
                 await registration.withdraw()
             group.cancel_scope.cancel()
@@ -253,14 +255,14 @@
 
     def _callers_socket(self) -> socket.socket:
         """Return the listening socket for callers: the early one if its address matches."""
-        early, address = self._early_socket, self._host.callers
-        if early is not None:
-            if early.getsockname() == address:
-                return early
-            early.close()
+        early_socket, address = self._early_socket, self._host.callers
+        if early_socket is not None:
+            if early_socket.getsockname() == address:
+                return early_socket
+            early_socket.close()
         return _open(address)
 
-    async def _drain(self, front: Front, listener: asyncio.Server) -> None:
+    async def _drain(self, frontend: CallerFrontend, listener: asyncio.Server) -> None:
         """Serve until the load balancer has removed this entry, then finish requests in flight.
 
         Persistent connections are closed after their next answer, or, once the listener is closed,
@@ -268,17 +270,17 @@
         """
         started_s = time.monotonic()
         ends_s = started_s + self._host.bounds.grace_s - _EXIT_MARGIN_S
-        front.leave()
-        self._events.write("stopping", in_flight=front.in_flight)
+        frontend.start_draining()
+        self._events.write("stopping", in_flight=frontend.in_flight)
         await anyio.sleep(_PROBE_FAILURE_DELAY_S)
         listener.close()
         while time.monotonic() < ends_s:
-            front.close_idle()
-            if front.in_flight == 0:
+            frontend.close_idle()
+            if frontend.in_flight == 0:
                 break
             await anyio.sleep(_DRAIN_POLL_INTERVAL_S)
-        if front.in_flight:
-            self._events.write("cut", in_flight=front.in_flight)
+        if frontend.in_flight:
+            self._events.write("cut", in_flight=frontend.in_flight)
 
     async def _handle_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -117,7 +117,7 @@
 
 
 def work_on_for_callers_who_left(patch):
-    patch.setattr(front.Front, "closed", lambda self, connection: None)
+    patch.setattr(front.CallerFrontend, "on_disconnect", lambda self, connection: None)
 
 
 def repeat_without_budget(patch):
