--- a/src/beryljunction/gateway/callers.py
+++ b/src/beryljunction/gateway/callers.py
@@ -240,7 +240,7 @@
         self._write(self._head(status, [*headers, length]) + (b"" if is_head else body))
         self._finish()
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def start_answer(self, status: int, headers: Headers) -> None:
         """Write the head of an answer of unknown length."""
         self._is_chunked = self._active is not None and not self._active.is_http_10
         if self._is_chunked:
@@ -257,7 +257,7 @@
         if not self._writable.is_set():
             await self._writable.wait()
 
-    def end(self) -> None:
+    def end_answer(self) -> None:
         """Complete an answer of unknown length."""
         if not self.is_open:
             return
--- a/src/beryljunction/gateway/delivery.py
+++ b/src/beryljunction/gateway/delivery.py
@@ -7,64 +7,64 @@
 from beryljunction.gateway.messages import Head, Headers, hop_by_hop
 from beryljunction.platform.headers import ENDPOINT_ONLY
 
-__all__ = ["Answering", "Delivery"]
+__all__ = ["AnswerWriter", "CallerAnswer"]
 
 
-class Answering(Protocol):
+class AnswerWriter(Protocol):
     """The methods of a caller's connection that a delivery uses."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer."""
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def start_answer(self, status: int, headers: Headers) -> None:
         """Write the head of an answer of unknown length."""
 
     async def write_part(self, data: bytes) -> None:
         """Write a part of the answer."""
 
-    def end(self) -> None:
+    def end_answer(self) -> None:
         """Complete the answer."""
 
     def abort(self) -> None:
         """Abort the connection, so that the answer is visibly incomplete."""
 
 
-class Delivery:
+class CallerAnswer:
     """The answer to one request, which may combine a stream from several endpoints.
 
     Attributes:
-        has_begun: Whether the head of an answer was written.
-        position: Id of the last event that was written; None before the first with an id.
-        first_s: Boot time at which the first byte was written; that clock counts suspended time.
+        has_started: Whether the head of an answer was written.
+        last_event_id: Id of the last event that was written; None before the first with an id.
+        first_byte_s: Boot time at which the first byte was written; that clock counts suspended time.
         status: Status that was written; 0 before that.
-        is_whole: Whether the answer was completed.
+        is_complete: Whether the answer was completed.
     """
 
-    def __init__(self, caller: Answering) -> None:
+    def __init__(self, caller: AnswerWriter) -> None:
         self._caller = caller
-        self.has_begun = False
-        self.position: int | None = None
-        self.first_s: float | None = None
+        self.has_started = False
+        self.last_event_id: int | None = None
+        self.first_byte_s: float | None = None
         self.status = 0
-        self.is_whole = False
+        self.is_complete = False
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def write_answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer."""
         self._record_start(status)
-        self.is_whole = True
+        self.is_complete = True
         self._caller.answer(status, headers, body)
 
-    def pass_answer(self, head: Head, body: bytes) -> None:
+    def relay_answer(self, head: Head, body: bytes) -> None:
         """Write a complete answer of an endpoint, without the headers meant for the entry."""
-        self.answer(head.status, _end_to_end_headers(head), body)
+        self.write_answer(head.status, _end_to_end_headers(head), body)
 
-    def begin(self, head: Head) -> None:
+    def start_answer(self, head: Head) -> None:
         """Write an endpoint's head; does nothing when another endpoint continues the answer."""
-        if self.has_begun:
+        if self.has_started:
             return
-        self.has_begun = True
+        self.has_started = True
         self._record_start(head.status)
-        self._caller.begin(head.status, _end_to_end_headers(head))
+        self._caller.start_answer(head.status, _end_to_end_headers(head))
 
     async def write_part(self, data: bytes) -> None:
         """Write a part of the answer; `begin` must have been called."""
@@ -72,32 +72,32 @@
 
     async def write_events(self, head: Head, events: list[StreamEvent]) -> None:
         """Write the events that the caller hasn't received yet."""
-        fresh = b"".join(event.raw for event in events if self._advance_position(event))
+        fresh = b"".join(event.raw for event in events if self._advance_last_event_id(event))
         if fresh:
-            self.begin(head)
+            self.start_answer(head)
             await self._caller.write_part(fresh)
 
-    def end(self, head: Head) -> None:
+    def end_answer(self, head: Head) -> None:
         """Complete the answer."""
-        self.begin(head)
-        self.is_whole = True
-        self._caller.end()
+        self.start_answer(head)
+        self.is_complete = True
+        self._caller.end_answer()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that an incomplete answer doesn't look complete."""
         self._caller.abort()
 
-    def _advance_position(self, event: StreamEvent) -> bool:
-        if event.position is None:
+    def _advance_last_event_id(self, event: StreamEvent) -> bool:
+        if event.event_id is None:
             return True
-        if self.position is not None and event.position <= self.position:
+        if self.last_event_id is not None and event.event_id <= self.last_event_id:
             return False
-        self.position = event.position
+        self.last_event_id = event.event_id
         return True
 
     def _record_start(self, status: int) -> None:
         self.status = status
-        self.first_s = boot_time_s()
+        self.first_byte_s = boot_time_s()
 
 
 def _end_to_end_headers(head: Head) -> Headers:
--- a/src/beryljunction/gateway/eventstream.py
+++ b/src/beryljunction/gateway/eventstream.py
@@ -13,32 +13,32 @@
     """One event including its final blank line; `position` is its id if that is a number."""
 
     raw: bytes
-    position: int | None
+    event_id: int | None
 
 
 class EventSplitter:
     """Buffers parts of a stream until an event is complete.
 
     Attributes:
-        rest: Bytes of the incomplete event at the end of the data so far.
+        incomplete_event: Bytes of the incomplete event at the end of the data so far.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.incomplete_event = b""
 
     @property
-    def is_overlong(self) -> bool:
+    def is_too_long(self) -> bool:
         """Whether the incomplete event exceeds the size limit."""
-        return len(self.rest) > _MAX_EVENT_BYTES
+        return len(self.incomplete_event) > _MAX_EVENT_BYTES
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add data and return the events that it completes."""
-        pieces = (self.rest + data).split(b"\n\n")
-        self.rest = pieces.pop()
-        return [StreamEvent(piece + b"\n\n", _position(piece)) for piece in pieces]
+        pieces = (self.incomplete_event + data).split(b"\n\n")
+        self.incomplete_event = pieces.pop()
+        return [StreamEvent(piece + b"\n\n", _event_id(piece)) for piece in pieces]
 
 
-def _position(event: bytes) -> int | None:
+def _event_id(event: bytes) -> int | None:
     for line in event.split(b"\n"):
         name, _, value = line.partition(b":")
         if name == b"id":
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -9,7 +9,7 @@
     open_call,
     refuses_connections,
 )
-from beryljunction.gateway.delivery import Answering, Delivery
+from beryljunction.gateway.delivery import AnswerWriter, CallerAnswer
 from beryljunction.gateway.endpointword import note_word
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import Head, Headers, HttpRequest
@@ -48,10 +48,10 @@
 class Exchange:
     """Handles one request of a caller from its arrival to the end of its answer."""
 
-    def __init__(self, state: EntryState, request: HttpRequest, caller: Answering) -> None:
+    def __init__(self, state: EntryState, request: HttpRequest, caller: AnswerWriter) -> None:
         self._state = state
         self._request = request
-        self._delivery = Delivery(caller)
+        self._caller_answer = CallerAnswer(caller)
         self._tried: set[KnownEndpoint] = set()
         self._endpoint_error: tuple[Head, bytes] | None = None
         self._service = ""
@@ -72,7 +72,7 @@
         try:
             await self._serve(admitted)
         finally:
-            self._log.ended(self._delivery, self._request.arrived_s)
+            self._log.ended(self._caller_answer, self._request.arrived_s)
 
     async def _serve(self, admitted: Admitted) -> None:
         route = admitted.route
@@ -215,7 +215,7 @@
         announced its shutdown did not crash.
         """
         quarantine = self._state.quarantine
-        if self._delivery.is_whole and call.is_complete:
+        if self._caller_answer.is_complete and call.is_complete:
             quarantine.note_served(self._log.digest)
         may_have_crashed = call.is_cut and not endpoint.has_said_leaving
         if may_have_crashed and await refuses_connections(endpoint.record.address):
@@ -235,7 +235,7 @@
             endpoint.note_failure(boot_time_s())
             return AttemptEnd(AttemptOutcome.FAILED, "answer to another request")
         endpoint.note_answer()
-        relay = Relay(call, head, self._delivery, endpoint.latency)
+        relay = Relay(call, head, self._caller_answer, endpoint.latency)
         if admitted.route.streamed and head.status == 200:
             return await relay.stream()
         return await relay.hold(admitted.route.repeat)
@@ -248,7 +248,7 @@
             admitted,
             endpoint.record.endpoint_id,
             max(1, int(self._remaining_s() * 1000)),
-            self._delivery.position,
+            self._caller_answer.last_event_id,
             source.record.address if source is not None else None,
         )
 
@@ -262,10 +262,10 @@
         self, decision: AttemptDecision, reason: str, denial: Denial | None = None
     ) -> None:
         """End the request without another attempt; the verdict decides the answer."""
-        if self._delivery.has_begun:
+        if self._caller_answer.has_started:
             self._abort_answer(reason)
         elif decision is AttemptDecision.DELIVER and self._endpoint_error is not None:
-            self._delivery.pass_answer(*self._endpoint_error)
+            self._caller_answer.relay_answer(*self._endpoint_error)
         elif decision is not AttemptDecision.REFUSE:
             self._answer_error(502, reason)
         elif denial is not None:
@@ -275,14 +275,14 @@
 
     def _time_out(self, plan: AttemptPlan) -> None:
         """End a request whose deadline or route timeout has expired."""
-        if self._delivery.has_begun:
+        if self._caller_answer.has_started:
             self._abort_answer("deadline")
         else:
             self._answer_error(504 if plan.sends else 503, "deadline")
 
     def _abort_answer(self, reason: str) -> None:
         self._log.write("broken_off", reason=reason)
-        self._delivery.break_off()
+        self._caller_answer.abort()
 
     def _answer_error(self, status: int, reason: str) -> None:
         headers: Headers = [(b"content-type", b"text/plain")]
@@ -293,7 +293,7 @@
             headers.append((RETRY_AFTER_S, b"%.2f" % delay_s))
         event = "refused" if status == 503 else "failed"
         self._log.write(event, digest=self._log.digest, status=status, reason=reason)
-        self._delivery.answer(status, headers, f"{reason}\n".encode())
+        self._caller_answer.write_answer(status, headers, f"{reason}\n".encode())
 
     def _retry_after_s(self, reason: str) -> float | None:
         """Return the Retry-After value of a refusal in seconds; None to send no such header."""
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.delivery import Delivery
+from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import Account, KnownEndpoint, PlacementRequest, PrefillPlan, Route
 
@@ -63,12 +63,14 @@
             **fields,
         )
 
-    def ended(self, delivery: Delivery, arrived_s: float) -> None:
+    def ended(self, caller_answer: CallerAnswer, arrived_s: float) -> None:
         """Write the status and latencies of the answer that the caller received."""
-        first_s = delivery.first_s
+        first_byte_s = caller_answer.first_byte_s
         self.write(
-            "answered" if delivery.is_whole else "not_answered",
-            status=delivery.status,
-            first_ms=round((first_s - arrived_s) * 1000, 1) if first_s is not None else None,
+            "answered" if caller_answer.is_complete else "not_answered",
+            status=caller_answer.status,
+            first_ms=(
+                round((first_byte_s - arrived_s) * 1000, 1) if first_byte_s is not None else None
+            ),
             whole_ms=round((boot_time_s() - arrived_s) * 1000, 1),
         )
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -4,7 +4,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.calls import EndpointCall
-from beryljunction.gateway.delivery import Delivery
+from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter
 from beryljunction.gateway.messages import Head
 from beryljunction.routing import AttemptOutcome, LatencyEstimate, RepeatPolicy
@@ -35,11 +35,11 @@
     """Relays one endpoint's answer to a caller."""
 
     def __init__(
-        self, call: EndpointCall, head: Head, delivery: Delivery, latency: LatencyEstimate
+        self, call: EndpointCall, head: Head, caller_answer: CallerAnswer, latency: LatencyEstimate
     ) -> None:
         self._call = call
         self._head = head
-        self._delivery = delivery
+        self._caller_answer = caller_answer
         self._latency = latency
 
     async def hold(self, repeat: RepeatPolicy) -> AttemptEnd:
@@ -49,28 +49,28 @@
         while (part := await self._call.part()) is not None:
             parts.append(part)
             size += len(part)
-            if size > _MAX_HELD_ANSWER_BYTES and not self._delivery.has_begun:
+            if size > _MAX_HELD_ANSWER_BYTES and not self._caller_answer.has_started:
                 return await self._forward(parts)
         if not self._call.is_complete:
             return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
-        if self._delivery.has_begun:
+        if self._caller_answer.has_started:
             detail = f"expected the rest of a stream, got status {self._head.status}"
             return AttemptEnd(AttemptOutcome.FAILED, detail)
         body = b"".join(parts)
         if self._head.status >= 500 and repeat is not RepeatPolicy.NEVER:
             return AttemptEnd(AttemptOutcome.ERRORED, str(self._head.status), (self._head, body))
-        self._delivery.pass_answer(self._head, body)
+        self._caller_answer.relay_answer(self._head, body)
         return AttemptEnd()
 
     async def _forward(self, parts: list[bytes]) -> AttemptEnd:
-        self._delivery.begin(self._head)
+        self._caller_answer.start_answer(self._head)
         for part in parts:
-            await self._delivery.write_part(part)
+            await self._caller_answer.write_part(part)
         while (more := await self._call.part()) is not None:
-            await self._delivery.write_part(more)
+            await self._caller_answer.write_part(more)
         if not self._call.is_complete:
             return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
-        self._delivery.end(self._head)
+        self._caller_answer.end_answer(self._head)
         return AttemptEnd()
 
     async def stream(self) -> AttemptEnd:
@@ -80,14 +80,14 @@
         while (part := await self._call.part()) is not None:
             events = splitter.feed(part)
             previous_s = self._record_latency(previous_s, len(events))
-            await self._delivery.write_events(self._head, events)
-            if splitter.is_overlong:
+            await self._caller_answer.write_events(self._head, events)
+            if splitter.is_too_long:
                 return AttemptEnd(AttemptOutcome.FAILED, "event exceeds the size limit")
-        if not self._call.is_complete or splitter.rest:
+        if not self._call.is_complete or splitter.incomplete_event:
             return AttemptEnd(
                 AttemptOutcome.FAILED, self._call.problem or "answer ended within an event"
             )
-        self._delivery.end(self._head)
+        self._caller_answer.end_answer(self._head)
         return AttemptEnd()
 
     def _record_latency(self, previous_s: float | None, count: int) -> float | None:
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -16,7 +16,7 @@
     topics,
 )
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.delivery import Delivery
+from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter, StreamEvent
 from beryljunction.gateway.known import Known
 from beryljunction.gateway.quarantine import Quarantine
@@ -91,11 +91,11 @@
 
 
 def hand_on_events_twice(patch):
-    patch.setattr(Delivery, "_advance_position", lambda self, event: True)
+    patch.setattr(CallerAnswer, "_advance_last_event_id", lambda self, event: True)
 
 
 def end_broken_streams_as_whole(patch):
-    patch.setattr(Delivery, "break_off", lambda self: self._caller.end())
+    patch.setattr(CallerAnswer, "abort", lambda self: self._caller.end_answer())
 
 
 def go_on_using_leaving_endpoints(patch):
@@ -147,7 +147,7 @@
         parts = []
         while (part := await self._call.part()) is not None:
             parts.append(part)
-        self._delivery.pass_answer(self._head, b"".join(parts))
+        self._caller_answer.relay_answer(self._head, b"".join(parts))
         return relay.AttemptEnd()
 
     patch.setattr(relay.Relay, "hold", hold)
