--- a/src/beryljunction/gateway/calls.py
+++ b/src/beryljunction/gateway/calls.py
@@ -33,7 +33,7 @@
     Attributes:
         is_complete: Whether the answer was received up to the end that its framing defines.
         problem: Why the answer can't be used; empty while it can.
-        is_cut: Whether the connection ended before the answer did.
+        was_disconnected: Whether the connection ended before the answer did.
     """
 
     def __init__(self, is_head: bool) -> None:
@@ -48,7 +48,7 @@
         self._changed = anyio.Event()
         self.is_complete = False
         self.problem = ""
-        self.is_cut = False
+        self.was_disconnected = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set the timeouts of the socket."""
@@ -83,7 +83,7 @@
         """Fail the answer if the connection ended before it was complete."""
         self._transport = None
         if not self.is_complete and not self.problem:
-            self.is_cut = True
+            self.was_disconnected = True
             self._fail(f"a lost connection ({exc or 'closed'})")
         self._changed.set()
 
@@ -126,13 +126,13 @@
         self.problem = f"expected a complete answer, got {got}"
         self._changed.set()
 
-    async def head(self) -> Head | None:
+    async def read_head(self) -> Head | None:
         """Wait for the status and headers of the answer; return None if it failed before them."""
         while self._head is None and not self.problem:
             await self._wait()
         return self._head
 
-    async def part(self) -> bytes | None:
+    async def read_body_part(self) -> bytes | None:
         """Wait for the next part of the body; return None after the last, see `is_complete`."""
         while not self._body_parts:
             if self.is_complete or self.problem:
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -14,7 +14,7 @@
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import Head, Headers, HttpRequest
 from beryljunction.gateway.outgoing import endpoint_message
-from beryljunction.gateway.relay import AttemptEnd, Relay
+from beryljunction.gateway.relay import AttemptResult, Relay
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
 from beryljunction.platform.requests import (
@@ -120,21 +120,21 @@
                 self._give_up(plan.give_up(), reason)
                 return
             self._tried.add(endpoint)
-            end = await self._attempt(endpoint, plan)
-            if end.outcome is None:
+            result = await self._attempt(endpoint, plan)
+            if result.outcome is None:
                 return
-            self._endpoint_error = end.error or self._endpoint_error
-            decision = plan.after(end.outcome)
+            self._endpoint_error = result.error_answer or self._endpoint_error
+            decision = plan.after(result.outcome)
             self._log.write(
                 "attempt_ended",
                 digest=self._log.digest,
                 endpoint=endpoint.record.endpoint_id,
-                outcome=end.outcome.value,
+                outcome=result.outcome.value,
                 verdict=decision.value,
-                detail=end.detail,
+                detail=result.detail,
             )
             if decision is not AttemptDecision.AGAIN:
-                self._give_up(decision, end.outcome.value)
+                self._give_up(decision, result.outcome.value)
                 return
 
     def _end_if_quarantined(self, plan: AttemptPlan) -> bool:
@@ -144,7 +144,7 @@
         self._give_up(plan.give_up(), _QUARANTINED)
         return True
 
-    async def _attempt(self, endpoint: KnownEndpoint, plan: AttemptPlan) -> AttemptEnd:
+    async def _attempt(self, endpoint: KnownEndpoint, plan: AttemptPlan) -> AttemptResult:
         """Connect to one endpoint and send the request to it."""
         endpoint.in_flight += 1
         try:
@@ -153,13 +153,13 @@
                 return await self._send(call, endpoint, plan)
         except EndpointUnreachable as error:
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(AttemptOutcome.NOT_SENT, str(error))
+            return AttemptResult(AttemptOutcome.NOT_SENT, str(error))
         finally:
             endpoint.in_flight -= 1
 
     async def _send(
         self, call: EndpointCall, endpoint: KnownEndpoint, plan: AttemptPlan
-    ) -> AttemptEnd:
+    ) -> AttemptResult:
         """Send the request and relay the answer.
 
         Admission and endpoint state are checked again first: while the connection was being made
@@ -167,16 +167,16 @@
         """
         problem = self._state.may_send(self._service, endpoint)
         if problem:
-            return AttemptEnd(AttemptOutcome.NOT_SENT, problem)
+            return AttemptResult(AttemptOutcome.NOT_SENT, problem)
         admitted = self._admit()
         if isinstance(admitted, Denial):
             self._give_up(plan.give_up(), admitted.reason.value, admitted)
-            return AttemptEnd()
+            return AttemptResult()
         if self._end_if_quarantined(plan):
-            return AttemptEnd()
+            return AttemptResult()
         if not plan.before_send(boot_time_s()):
             self._give_up(plan.give_up(), "retry_budget")
-            return AttemptEnd()
+            return AttemptResult()
         prefill = self._state.reading(self._service, endpoint, self._placement_request)
         self._state.note_send(self._service, endpoint)
         call.send(self._build_message(endpoint, admitted, prefill.source))
@@ -193,7 +193,7 @@
         sent_s = endpoint.pending_since_s[call] = boot_time_s()
         endpoint.prefill_tokens += prefill.uncached_tokens
         try:
-            head = await call.head()
+            head = await call.read_head()
         finally:
             endpoint.prefill_tokens -= prefill.uncached_tokens
             endpoint.end_wait(call, boot_time_s())
@@ -202,11 +202,11 @@
             endpoint.latency.note(took_ms, boot_time_s())
         if head is not None and head.status == 200:
             self._state.note_first(self._service, prefill, took_ms)
-        end = await self._handle_answer(call, head, endpoint, admitted)
-        is_bad = end.outcome is not None or (head is not None and head.status >= 500)
+        result = await self._handle_answer(call, head, endpoint, admitted)
+        is_bad = result.outcome is not None or (head is not None and head.status >= 500)
         endpoint.error_rate.note(is_bad, boot_time_s())
         await self._update_quarantine(call, endpoint)
-        return end
+        return result
 
     async def _update_quarantine(self, call: EndpointCall, endpoint: KnownEndpoint) -> None:
         """Report to the quarantine whether the request was served or its endpoint crashed.
@@ -217,28 +217,28 @@
         quarantine = self._state.quarantine
         if self._caller_answer.is_complete and call.is_complete:
             quarantine.note_served(self._log.digest)
-        may_have_crashed = call.is_cut and not endpoint.has_said_leaving
+        may_have_crashed = call.was_disconnected and not endpoint.has_said_leaving
         if may_have_crashed and await refuses_connections(endpoint.record.address):
             quarantine.note_crash(self._log.digest, endpoint)
 
     async def _handle_answer(
         self, call: EndpointCall, head: Head | None, endpoint: KnownEndpoint, admitted: Admitted
-    ) -> AttemptEnd:
+    ) -> AttemptResult:
         """Check the status and headers of an answer, then relay it or fail the attempt."""
         if head is None:
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(AttemptOutcome.FAILED, call.problem)
+            return AttemptResult(AttemptOutcome.FAILED, call.problem)
         note_word(endpoint, head, self._log)
         if has_not_run(head.status, head.headers):
-            return AttemptEnd(AttemptOutcome.DECLINED, str(head.status))
+            return AttemptResult(AttemptOutcome.DECLINED, str(head.status))
         if not is_answer_to(self._log.request_id, head.headers):
             endpoint.note_failure(boot_time_s())
-            return AttemptEnd(AttemptOutcome.FAILED, "answer to another request")
+            return AttemptResult(AttemptOutcome.FAILED, "answer to another request")
         endpoint.note_answer()
         relay = Relay(call, head, self._caller_answer, endpoint.latency)
         if admitted.route.streamed and head.status == 200:
-            return await relay.stream()
-        return await relay.hold(admitted.route.repeat)
+            return await relay.relay_events()
+        return await relay.relay_buffered(admitted.route.repeat)
 
     def _build_message(
         self, endpoint: KnownEndpoint, admitted: Admitted, source: KnownEndpoint | None
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -9,26 +9,26 @@
 from beryljunction.gateway.messages import Head
 from beryljunction.routing import AttemptOutcome, LatencyEstimate, RepeatPolicy
 
-__all__ = ["AttemptEnd", "Relay"]
+__all__ = ["AttemptResult", "Relay"]
 
 # Answers up to this size are buffered completely before a byte is sent to the caller, so that an
 # interrupted answer can still become an error status or a retry at another endpoint.
-_MAX_HELD_ANSWER_BYTES = 1_048_576
+_MAX_BUFFERED_ANSWER_BYTES = 1_048_576
 
 
 @attrs.frozen
-class AttemptEnd:
+class AttemptResult:
     """How an attempt ended.
 
     Attributes:
         outcome: Why the attempt failed; None when the caller has its answer.
         detail: Problem or status, for the log.
-        error: Error answer of the endpoint, relayed if no later attempt succeeds.
+        error_answer: Error answer of the endpoint, relayed if no later attempt succeeds.
     """
 
     outcome: AttemptOutcome | None = None
     detail: str = ""
-    error: tuple[Head, bytes] | None = None
+    error_answer: tuple[Head, bytes] | None = None
 
 
 class Relay:
@@ -42,53 +42,53 @@
         self._caller_answer = caller_answer
         self._latency = latency
 
-    async def hold(self, repeat: RepeatPolicy) -> AttemptEnd:
+    async def relay_buffered(self, repeat: RepeatPolicy) -> AttemptResult:
         """Buffer the answer, then relay it; a very large one is relayed as it arrives."""
         parts: list[bytes] = []
         size = 0
-        while (part := await self._call.part()) is not None:
+        while (part := await self._call.read_body_part()) is not None:
             parts.append(part)
             size += len(part)
-            if size > _MAX_HELD_ANSWER_BYTES and not self._caller_answer.has_started:
+            if size > _MAX_BUFFERED_ANSWER_BYTES and not self._caller_answer.has_started:
                 return await self._forward(parts)
         if not self._call.is_complete:
-            return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
+            return AttemptResult(AttemptOutcome.FAILED, self._call.problem)
         if self._caller_answer.has_started:
             detail = f"expected the rest of a stream, got status {self._head.status}"
-            return AttemptEnd(AttemptOutcome.FAILED, detail)
+            return AttemptResult(AttemptOutcome.FAILED, detail)
         body = b"".join(parts)
         if self._head.status >= 500 and repeat is not RepeatPolicy.NEVER:
-            return AttemptEnd(AttemptOutcome.ERRORED, str(self._head.status), (self._head, body))
+            return AttemptResult(AttemptOutcome.ERRORED, str(self._head.status), (self._head, body))
         self._caller_answer.relay_answer(self._head, body)
-        return AttemptEnd()
+        return AttemptResult()
 
-    async def _forward(self, parts: list[bytes]) -> AttemptEnd:
+    async def _forward(self, parts: list[bytes]) -> AttemptResult:
         self._caller_answer.start_answer(self._head)
         for part in parts:
             await self._caller_answer.write_part(part)
-        while (more := await self._call.part()) is not None:
+        while (more := await self._call.read_body_part()) is not None:
             await self._caller_answer.write_part(more)
         if not self._call.is_complete:
-            return AttemptEnd(AttemptOutcome.FAILED, self._call.problem)
+            return AttemptResult(AttemptOutcome.FAILED, self._call.problem)
         self._caller_answer.end_answer(self._head)
-        return AttemptEnd()
+        return AttemptResult()
 
-    async def stream(self) -> AttemptEnd:
+    async def relay_events(self) -> AttemptResult:
         """Relay complete events as they arrive, each once."""
         splitter = EventSplitter()
         previous_s: float | None = None
-        while (part := await self._call.part()) is not None:
+        while (part := await self._call.read_body_part()) is not None:
             events = splitter.feed(part)
             previous_s = self._record_latency(previous_s, len(events))
             await self._caller_answer.write_events(self._head, events)
             if splitter.is_too_long:
-                return AttemptEnd(AttemptOutcome.FAILED, "event exceeds the size limit")
+                return AttemptResult(AttemptOutcome.FAILED, "event exceeds the size limit")
         if not self._call.is_complete or splitter.incomplete_event:
-            return AttemptEnd(
+            return AttemptResult(
                 AttemptOutcome.FAILED, self._call.problem or "answer ended within an event"
             )
         self._caller_answer.end_answer(self._head)
-        return AttemptEnd()
+        return AttemptResult()
 
     def _record_latency(self, previous_s: float | None, count: int) -> float | None:
         """Record the time between events, but not that before the first one, which is prefill."""
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -143,14 +143,14 @@
 
 
 def take_cut_answers_for_whole(patch):
-    async def hold(self, repeat):
+    async def relay_buffered(self, repeat):
         parts = []
-        while (part := await self._call.part()) is not None:
+        while (part := await self._call.read_body_part()) is not None:
             parts.append(part)
         self._caller_answer.relay_answer(self._head, b"".join(parts))
-        return relay.AttemptEnd()
+        return relay.AttemptResult()
 
-    patch.setattr(relay.Relay, "hold", hold)
+    patch.setattr(relay.Relay, "relay_buffered", relay_buffered)
 
 
 def ignore_answers_that_say_leaving(patch):
