--- a/src/beryljunction/gateway/callers.py
+++ b/src/beryljunction/gateway/callers.py
@@ -11,7 +11,7 @@
 import httptools
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.messages import Headers, HttpRequest, phrase_of
+from beryljunction.gateway.messages import Headers, HttpRequest, reason_phrase
 from beryljunction.gateway.sockets import CALLER_TIMEOUTS, set_timeouts
 from beryljunction.routing import CallerLimits
 
@@ -174,13 +174,13 @@
         request.keeps_alive = self._parser.should_keep_alive()
         request.is_http_10 = self._parser.get_http_version() == "1.0"
         self.headers_started_s = None
-        length = request.value(b"content-length")
+        length = request.header(b"content-length")
         if self._parser.should_upgrade():
             # The parser reads no body after an upgrade request, so a body would be lost.
             self._reject(400, "expected no change of protocol")
         elif length is not None and int(length) > self._handler.limits.body_bytes:
             self._reject(413, f"expected at most {self._handler.limits.body_bytes} bytes")
-        elif request.value(b"expect") is not None and self.is_open and self._active is None:
+        elif request.header(b"expect") is not None and self.is_open and self._active is None:
             self._write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
@@ -269,7 +269,7 @@
         keeps = self._active is not None and self._active.keeps_alive
         if not keeps or self._handler.is_draining or self._discards_input:
             self._closes_after_answer = True
-        lines = [b"HTTP/1.1 %d %b" % (status, phrase_of(status))]
+        lines = [b"HTTP/1.1 %d %b" % (status, reason_phrase(status))]
         lines += [b"%b: %b" % header for header in headers]
         if self._closes_after_answer:
             lines.append(b"connection: close")
--- a/src/beryljunction/gateway/calls.py
+++ b/src/beryljunction/gateway/calls.py
@@ -7,7 +7,7 @@
 import anyio
 import httptools
 
-from beryljunction.gateway.messages import Head, Headers
+from beryljunction.gateway.messages import Headers, ResponseHead
 from beryljunction.gateway.sockets import ENDPOINT_TIMEOUTS, set_timeouts
 
 __all__ = ["EndpointCall", "EndpointUnreachable", "open_call", "refuses_connections"]
@@ -41,7 +41,7 @@
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._headers: Headers = []
-        self._head: Head | None = None
+        self._head: ResponseHead | None = None
         self._body_parts: collections.deque[bytes] = collections.deque()
         self._buffered_bytes = 0
         self._is_paused = False
@@ -98,7 +98,7 @@
         status = self._parser.get_status_code()
         headers, self._headers = self._headers, []
         if status >= 200:
-            self._head = Head(status, headers)
+            self._head = ResponseHead(status, headers)
             self.is_complete = self._is_head
 
     def on_body(self, body: bytes) -> None:
@@ -126,7 +126,7 @@
         self.problem = f"expected a complete answer, got {got}"
         self._changed.set()
 
-    async def read_head(self) -> Head | None:
+    async def read_head(self) -> ResponseHead | None:
         """Wait for the status and headers of the answer; return None if it failed before them."""
         while self._head is None and not self.problem:
             await self._wait()
--- a/src/beryljunction/gateway/delivery.py
+++ b/src/beryljunction/gateway/delivery.py
@@ -4,7 +4,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.eventstream import StreamEvent
-from beryljunction.gateway.messages import Head, Headers, hop_by_hop
+from beryljunction.gateway.messages import Headers, ResponseHead, hop_by_hop_names
 from beryljunction.platform.headers import ENDPOINT_ONLY
 
 __all__ = ["AnswerWriter", "CallerAnswer"]
@@ -54,11 +54,11 @@
         self.is_complete = True
         self._caller.answer(status, headers, body)
 
-    def relay_answer(self, head: Head, body: bytes) -> None:
+    def relay_answer(self, head: ResponseHead, body: bytes) -> None:
         """Write a complete answer of an endpoint, without the headers meant for the entry."""
         self.write_answer(head.status, _end_to_end_headers(head), body)
 
-    def start_answer(self, head: Head) -> None:
+    def start_answer(self, head: ResponseHead) -> None:
         """Write an endpoint's head; does nothing when another endpoint continues the answer."""
         if self.has_started:
             return
@@ -70,14 +70,14 @@
         """Write a part of the answer; `begin` must have been called."""
         await self._caller.write_part(data)
 
-    async def write_events(self, head: Head, events: list[StreamEvent]) -> None:
+    async def write_events(self, head: ResponseHead, events: list[StreamEvent]) -> None:
         """Write the events that the caller hasn't received yet."""
         fresh = b"".join(event.raw for event in events if self._advance_last_event_id(event))
         if fresh:
             self.start_answer(head)
             await self._caller.write_part(fresh)
 
-    def end_answer(self, head: Head) -> None:
+    def end_answer(self, head: ResponseHead) -> None:
         """Complete the answer."""
         self.start_answer(head)
         self.is_complete = True
@@ -100,6 +100,6 @@
         self.first_byte_s = boot_time_s()
 
 
-def _end_to_end_headers(head: Head) -> Headers:
-    dropped = hop_by_hop(head.headers, frozenset()) | ENDPOINT_ONLY
+def _end_to_end_headers(head: ResponseHead) -> Headers:
+    dropped = hop_by_hop_names(head.headers, frozenset()) | ENDPOINT_ONLY
     return [line for line in head.headers if line[0] not in dropped]
--- a/src/beryljunction/gateway/endpointword.py
+++ b/src/beryljunction/gateway/endpointword.py
@@ -2,14 +2,14 @@
 
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.exchangelog import ExchangeLog
-from beryljunction.gateway.messages import Head
+from beryljunction.gateway.messages import ResponseHead
 from beryljunction.platform.requests import is_leaving, load_of, pause_s_of
 from beryljunction.routing import KnownEndpoint, LoadReport
 
 __all__ = ["note_word"]
 
 
-def note_word(endpoint: KnownEndpoint, head: Head, log: ExchangeLog) -> None:
+def note_word(endpoint: KnownEndpoint, head: ResponseHead, log: ExchangeLog) -> None:
     """Update an endpoint's state from the headers of a response, regardless of its status."""
     now_s, status, endpoint_id = boot_time_s(), head.status, endpoint.record.endpoint_id
     load = load_of(head.headers)
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -12,8 +12,8 @@
 from beryljunction.gateway.delivery import AnswerWriter, CallerAnswer
 from beryljunction.gateway.endpointword import note_word
 from beryljunction.gateway.exchangelog import ExchangeLog
-from beryljunction.gateway.messages import Head, Headers, HttpRequest
-from beryljunction.gateway.outgoing import endpoint_message
+from beryljunction.gateway.messages import Headers, HttpRequest, ResponseHead
+from beryljunction.gateway.outgoing import build_endpoint_request
 from beryljunction.gateway.relay import AttemptResult, Relay
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
@@ -53,7 +53,7 @@
         self._request = request
         self._caller_answer = CallerAnswer(caller)
         self._tried: set[KnownEndpoint] = set()
-        self._endpoint_error: tuple[Head, bytes] | None = None
+        self._endpoint_error: tuple[ResponseHead, bytes] | None = None
         self._service = ""
         self._log = ExchangeLog(state)
 
@@ -179,7 +179,7 @@
             return AttemptResult()
         prefill = self._state.reading(self._service, endpoint, self._placement_request)
         self._state.note_send(self._service, endpoint)
-        call.send(self._build_message(endpoint, admitted, prefill.source))
+        call.send(self._build_request(endpoint, admitted, prefill.source))
         self._log.sent(
             endpoint,
             admitted.route,
@@ -222,7 +222,11 @@
             quarantine.note_crash(self._log.digest, endpoint)
 
     async def _handle_answer(
-        self, call: EndpointCall, head: Head | None, endpoint: KnownEndpoint, admitted: Admitted
+        self,
+        call: EndpointCall,
+        head: ResponseHead | None,
+        endpoint: KnownEndpoint,
+        admitted: Admitted,
     ) -> AttemptResult:
         """Check the status and headers of an answer, then relay it or fail the attempt."""
         if head is None:
@@ -240,10 +244,10 @@
             return await relay.relay_events()
         return await relay.relay_buffered(admitted.route.repeat)
 
-    def _build_message(
+    def _build_request(
         self, endpoint: KnownEndpoint, admitted: Admitted, source: KnownEndpoint | None
     ) -> bytes:
-        return endpoint_message(
+        return build_endpoint_request(
             self._request,
             admitted,
             endpoint.record.endpoint_id,
--- a/src/beryljunction/gateway/messages.py
+++ b/src/beryljunction/gateway/messages.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-__all__ = ["Head", "Headers", "HttpRequest", "hop_by_hop", "phrase_of"]
+__all__ = ["ResponseHead", "Headers", "HttpRequest", "hop_by_hop_names", "reason_phrase"]
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -57,7 +57,7 @@
     keeps_alive: bool = True
     is_http_10: bool = False
 
-    def value(self, name: bytes) -> bytes | None:
+    def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header."""
         return next((value for key, value in self.headers if key == name), None)
 
@@ -68,19 +68,21 @@
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """Status and headers of an endpoint's answer; names in lower case."""
 
     status: int
     headers: Headers
 
 
-def hop_by_hop(headers: Iterable[tuple[bytes, bytes]], kept: frozenset[bytes]) -> frozenset[bytes]:
+def hop_by_hop_names(
+    headers: Iterable[tuple[bytes, bytes]], forwarded_names: frozenset[bytes]
+) -> frozenset[bytes]:
     """Return the names of hop-by-hop headers, which a proxy must not forward.
 
     Args:
         headers: Headers of a message.
-        kept: Names that are forwarded even if the message's Connection header lists them, so that
+        forwarded_names: Names that are forwarded even if the message's Connection header lists them, so that
             a caller can't have the headers that identify its request removed.
     """
     listed = {
@@ -89,9 +91,9 @@
         if name == b"connection"
         for token in value.split(b",")
     }
-    return _HOP_BY_HOP | (listed - kept)
+    return _HOP_BY_HOP | (listed - forwarded_names)
 
 
-def phrase_of(status: int) -> bytes:
+def reason_phrase(status: int) -> bytes:
     """Return the reason phrase of a status line."""
     return _PHRASES.get(status, b"Status")
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -52,7 +52,7 @@
         answer = answers.get(request.path)
         if answer is None:
             super().on_request(connection, request)
-        elif not shows_key(request.value(b"authorization") or b"", self._digests):
+        elif not shows_key(request.header(b"authorization") or b"", self._digests):
             connection.answer(401, [(b"www-authenticate", b"Bearer")], b"")
         else:
             headers = [(b"content-type", b"application/json")]
--- a/src/beryljunction/gateway/outgoing.py
+++ b/src/beryljunction/gateway/outgoing.py
@@ -1,18 +1,18 @@
 """Builds the request that is sent to an endpoint."""
 
-from beryljunction.gateway.messages import HttpRequest, hop_by_hop
+from beryljunction.gateway.messages import HttpRequest, hop_by_hop_names
 from beryljunction.platform.requests import MUST_STAY, endpoint_headers, with_last_event
 from beryljunction.routing import Admitted
 
-__all__ = ["endpoint_message"]
+__all__ = ["build_endpoint_request"]
 
 
-def endpoint_message(
+def build_endpoint_request(
     request: HttpRequest,
     admitted: Admitted,
     endpoint_id: str,
-    left_ms: int,
-    position: int | None,
+    remaining_ms: int,
+    last_event_id: int | None,
     fetch_from: tuple[str, int] | None,
 ) -> bytes:
     """Return the request to send; method, target and body are the caller's, unchanged.
@@ -21,29 +21,29 @@
         request: The caller's complete request; a chunked body is sent with a Content-Length.
         admitted: The route and client account that it was admitted for.
         endpoint_id: The only endpoint that may run the request.
-        left_ms: Time until the deadline.
-        position: Id of the last event that the caller received of a stream to resume; None to
+        remaining_ms: Time until the deadline.
+        last_event_id: Id of the last event that the caller received of a stream to resume; None to
             start from the beginning.
         fetch_from: Address of an endpoint that has more of the prompt in its KV cache; None for
             none.
     """
     route, account = admitted.route, admitted.account
     lines = request.headers
-    if position is not None:
-        lines = with_last_event(lines, position)
+    if last_event_id is not None:
+        lines = with_last_event(lines, last_event_id)
     urgency = route.priority
     if account is not None and account.priority is not None:
         urgency = account.priority
     headers = endpoint_headers(
         lines,
-        hop_by_hop(request.headers, MUST_STAY),
+        hop_by_hop_names(request.headers, MUST_STAY),
         endpoint_id,
-        left_ms,
+        remaining_ms,
         account.name if account is not None else None,
         urgency,
         fetch_from,
     )
-    had_body = request.value(b"content-length") or request.value(b"transfer-encoding")
+    had_body = request.header(b"content-length") or request.header(b"transfer-encoding")
     if had_body is not None:
         headers.append((b"content-length", b"%d" % len(request.body)))
     start = b"%b %b HTTP/1.1\r\n" % (request.method, request.target)
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -6,7 +6,7 @@
 from beryljunction.gateway.calls import EndpointCall
 from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter
-from beryljunction.gateway.messages import Head
+from beryljunction.gateway.messages import ResponseHead
 from beryljunction.routing import AttemptOutcome, LatencyEstimate, RepeatPolicy
 
 __all__ = ["AttemptResult", "Relay"]
@@ -28,14 +28,18 @@
 
     outcome: AttemptOutcome | None = None
     detail: str = ""
-    error_answer: tuple[Head, bytes] | None = None
+    error_answer: tuple[ResponseHead, bytes] | None = None
 
 
 class Relay:
     """Relays one endpoint's answer to a caller."""
 
     def __init__(
-        self, call: EndpointCall, head: Head, caller_answer: CallerAnswer, latency: LatencyEstimate
+        self,
+        call: EndpointCall,
+        head: ResponseHead,
+        caller_answer: CallerAnswer,
+        latency: LatencyEstimate,
     ) -> None:
         self._call = call
         self._head = head
