--- a/src/beryljunction/cli/platform_entry.py
+++ b/src/beryljunction/cli/platform_entry.py
@@ -21,7 +21,7 @@
     import anyio
 
     from beryljunction.errors import BerylError
-    from beryljunction.gateway.events import Events
+    from beryljunction.gateway.events import EntryEventLog
     from beryljunction.gateway.process import EntryProcess
     from beryljunction.platform import read_host_settings
 
@@ -29,7 +29,7 @@
     gc.enable()
     try:
         host = read_host_settings()
-        events = Events(host.host, host.availability_zone)
+        events = EntryEventLog(host.host, host.availability_zone)
         anyio.run(EntryProcess(host, events, listener).run_until_signal)
     except BerylError as error:
         print(error, file=sys.stderr)
--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -13,7 +13,7 @@
 from beryljunction.fuzz.platform.virtual import VirtualLoop, virtual_clock
 from beryljunction.gateway.callers import CallerConnection
 from beryljunction.gateway.crashreporter import CrashReporter
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
@@ -42,7 +42,7 @@
 class _Silent:
     """Takes log lines and keeps none."""
 
-    dropped = 0
+    dropped_lines = 0
 
     def write(self, text: str) -> None:
         """Drop a line."""
@@ -217,7 +217,7 @@
         """Start an entry that knows nothing."""
         store = FuzzStore(self.model, self.loop)
         host = HostSettings(name, "a", "r", address, ("10.0.0.1", 1), ("10.0.0.2", 1), _BOUNDS)
-        events = Events(name, "a", _Silent())  # type: ignore[arg-type]
+        events = EntryEventLog(name, "a", _Silent())  # type: ignore[arg-type]
         entry = FuzzEntry(name, address, store, EntryState(host, events))
         entry.state.random.seed(name)
         self.entries[name] = entry
--- a/src/beryljunction/gateway/events.py
+++ b/src/beryljunction/gateway/events.py
@@ -10,7 +10,7 @@
 from beryljunction.logs import key_value_formatter, key_value_text
 from beryljunction.timeline import Timeline
 
-__all__ = ["Events", "LineWriter"]
+__all__ = ["EntryEventLog", "LineWriter"]
 
 # A line costs 38 us of CPU time, so this rate uses less than 1% of a core. Lines above it are
 # counted and reported.
@@ -33,14 +33,14 @@
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._backlog = b""
-        self.dropped = 0
+        self.dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Write a line, add it to the backlog, or drop it."""
         data = text.encode(errors="replace")
         if len(self._backlog) + len(data) > _MAX_BACKLOG_BYTES:
-            self.dropped += 1
+            self.dropped_lines += 1
             data = b""
         self._backlog += data
         try:
@@ -48,7 +48,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            self.dropped += 1
+            self.dropped_lines += 1
             self._backlog = b""
             return
         self._backlog = self._backlog[written:]
@@ -57,7 +57,7 @@
         """Do nothing: `write` has no buffer that a flush could empty sooner."""
 
 
-class Events:
+class EntryEventLog:
     """Writes events to the log, up to a fixed number of lines per second.
 
     Attributes:
@@ -79,18 +79,18 @@
         self._logger.addHandler(handler)
         self._current_second = 0
         self._lines_this_second = 0
-        self.left_out = 0
+        self.suppressed_lines = 0
         self.metrics = EntryMetrics()
         self.timeline: Timeline | None = None
 
-    def keep_latest(self) -> None:
+    def enable_timeline(self) -> None:
         """Start to keep the latest events."""
         host, zone = self._common_fields["host"], self._common_fields["availability_zone"]
         self.timeline = Timeline(host, zone, ring_events=_TIMELINE_EVENTS)
 
     def write(self, event: str, exc_info: bool = False, **fields: Any) -> None:
         """Write one event, with the current exception's traceback if `exc_info` is set."""
-        self.metrics.count(event, fields)
+        self.metrics.count_event(event, fields)
         if self.timeline is not None:
             request_id = str(fields.get("request_id", ""))
             rest = {key: value for key, value in fields.items() if key != "request_id"}
@@ -99,7 +99,7 @@
         if second != self._current_second:
             self._start_second(second)
         if self._lines_this_second >= _MAX_LINES_PER_S:
-            self.left_out += 1
+            self.suppressed_lines += 1
             return
         self._lines_this_second += 1
         self._logger.info(event, exc_info=exc_info, extra={**self._common_fields, **fields})
@@ -107,9 +107,11 @@
     def _start_second(self, second: int) -> None:
         self._current_second = second
         self._lines_this_second = 0
-        left_out = self.left_out + self.writer.dropped
-        if left_out:
-            self.left_out = 0
-            self.writer.dropped = 0
+        missing_lines = self.suppressed_lines + self.writer.dropped_lines
+        if missing_lines:
+            self.suppressed_lines = 0
+            self.writer.dropped_lines = 0
             self._lines_this_second = 1
-            self._logger.info("lines_left_out", extra={**self._common_fields, "lines": left_out})
+            self._logger.info(
+                "lines_left_out", extra={**self._common_fields, "lines": missing_lines}
+            )
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -72,7 +72,7 @@
         try:
             await self._serve(admitted)
         finally:
-            self._log.ended(self._caller_answer, self._request.arrived_s)
+            self._log.log_ended(self._caller_answer, self._request.arrived_s)
 
     async def _serve(self, admitted: Admitted) -> None:
         route = admitted.route
@@ -180,7 +180,7 @@
         prefill = self._state.reading(self._service, endpoint, self._placement_request)
         self._state.note_send(self._service, endpoint)
         call.send(self._build_request(endpoint, admitted, prefill.source))
-        self._log.sent(
+        self._log.log_sent(
             endpoint,
             admitted.route,
             admitted.account,
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -35,7 +35,7 @@
             **fields,
         )
 
-    def sent(
+    def log_sent(
         self,
         endpoint: KnownEndpoint,
         route: Route,
@@ -63,7 +63,7 @@
             **fields,
         )
 
-    def ended(self, caller_answer: CallerAnswer, arrived_s: float) -> None:
+    def log_ended(self, caller_answer: CallerAnswer, arrived_s: float) -> None:
         """Write the status and latencies of the answer that the caller received."""
         first_byte_s = caller_answer.first_byte_s
         self.write(
--- a/src/beryljunction/gateway/metrics.py
+++ b/src/beryljunction/gateway/metrics.py
@@ -27,7 +27,7 @@
         self.counts = [0] * (len(_BUCKETS_MS) + 1)
         self.sum_ms = 0.0
 
-    def note(self, value_ms: float) -> None:
+    def observe(self, value_ms: float) -> None:
         self.counts[bisect.bisect_left(_BUCKETS_MS, value_ms)] += 1
         self.sum_ms += value_ms
 
@@ -48,11 +48,11 @@
         self._latencies = {name: _LatencyHistogram() for _, name in _LATENCY_METRICS}
         self._gauges: dict[str, tuple[str, Callable[[], float]]] = {}
 
-    def watch(self, name: str, documentation: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, documentation: str, read: Callable[[], float]) -> None:
         """Add a gauge that is read at each scrape."""
         self._gauges[name] = (documentation, read)
 
-    def count(self, event: str, fields: dict[str, Any]) -> None:
+    def count_event(self, event: str, fields: dict[str, Any]) -> None:
         """Count a log event, including one whose line the rate limit drops."""
         self._events[event] += 1
         if event in _LABELLED_COUNTERS:
@@ -62,7 +62,7 @@
             for field, metric in _LATENCY_METRICS:
                 value_ms = fields.get(field)
                 if value_ms is not None:
-                    self._latencies[metric].note(value_ms)
+                    self._latencies[metric].observe(value_ms)
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -8,7 +8,7 @@
 import attrs
 
 from beryljunction.gateway.callers import CallerConnection
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.messages import HttpRequest
 from beryljunction.gateway.probes import ProbeHandler
 from beryljunction.operators import EVENTS_PATH, STATUS_PATH, NodeStatus, shows_key
@@ -37,7 +37,7 @@
     def __init__(
         self,
         is_ready: Callable[[], bool],
-        events: Events,
+        events: EntryEventLog,
         status: Callable[[], NodeStatus],
         digests: tuple[str, ...],
     ) -> None:
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -14,7 +14,7 @@
 from beryljunction.errors import SettingsError, StartError
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
 from beryljunction.gateway.crashreporter import CrashReporter
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, host: HostSettings, events: Events, early_socket: socket.socket | None = None
+        self, host: HostSettings, events: EntryEventLog, early_socket: socket.socket | None = None
     ) -> None:
         self._host = host
         self._early_socket = early_socket
@@ -78,54 +78,58 @@
 
     def _register_gauges(self, frontend: CallerFrontend) -> None:
         state, metrics = self._state, self._events.metrics
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_settings_age_seconds",
             "Age of the last confirmation of the settings.",
             lambda: state.lease.age_s(boot_time_s()),
         )
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_endpoints_age_seconds",
             "Age of the last confirmation of the endpoints' records.",
             lambda: state.endpoints_known.age_s(boot_time_s()),
         )
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_settings_version",
             "Version of the settings in force.",
             lambda: state.config.version if state.config is not None else 0,
         )
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_reads_store",
             "Whether it reads the store for others.",
             lambda: state.fan_out.is_reader,
         )
-        metrics.watch("beryl_store_era", "Times that the store was restored.", lambda: state.era)
-        metrics.watch("beryl_entries", "Entries known.", lambda: len(state.fan_out))
-        metrics.watch("beryl_endpoints", "Endpoints known.", lambda: len(state.registry))
-        metrics.watch(
+        metrics.add_gauge(
+            "beryl_store_era", "Times that the store was restored.", lambda: state.era
+        )
+        metrics.add_gauge("beryl_entries", "Entries known.", lambda: len(state.fan_out))
+        metrics.add_gauge("beryl_endpoints", "Endpoints known.", lambda: len(state.registry))
+        metrics.add_gauge(
             "beryl_zones_evacuated",
             "Availability zones that get no new requests.",
             lambda: len(state.evacuations.since_s),
         )
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_endpoints_cold",
             "Endpoints that are, or may be, warming up.",
             state.cold_endpoints,
         )
-        metrics.watch(
+        metrics.add_gauge(
             "beryl_requests_quarantined",
             "Requests that may not be sent since endpoints ended under them.",
             lambda: len(state.quarantine),
         )
-        metrics.watch("beryl_requests_in_flight", "Requests here.", lambda: frontend.in_flight)
-        metrics.watch("beryl_ready", "Whether callers are welcome.", self._is_ready)
-        metrics.watch("beryl_repeats_left", "Second sends left.", state.repeats_left)
-        metrics.watch("beryl_log_lines_left_out", "Lines left out.", lambda: self._events.left_out)
+        metrics.add_gauge("beryl_requests_in_flight", "Requests here.", lambda: frontend.in_flight)
+        metrics.add_gauge("beryl_ready", "Whether callers are welcome.", self._is_ready)
+        metrics.add_gauge("beryl_repeats_left", "Second sends left.", state.repeats_left)
+        metrics.add_gauge(
+            "beryl_log_lines_left_out", "Lines left out.", lambda: self._events.suppressed_lines
+        )
 
     def _operator_handler(self, frontend: CallerFrontend) -> OperatorHandler:
         """Return the handler of the metrics address; keep events only if an operator key is set."""
         digests = operator_digests(self._host.operator_keys)
         if digests:
-            self._events.keep_latest()
+            self._events.enable_timeline()
         return OperatorHandler(
             self._is_ready, self._events, lambda: self._status(frontend), digests
         )
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -7,7 +7,7 @@
 
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.signals import Signal
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, CrashTable, FanOut, KnownEndpoint, crash_counting_hosts
@@ -56,7 +56,7 @@
         events: The log.
     """
 
-    def __init__(self, host: str, fan_out: FanOut, events: Events) -> None:
+    def __init__(self, host: str, fan_out: FanOut, events: EntryEventLog) -> None:
         self._host = host
         self._fan_out = fan_out
         self._events = events
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -6,7 +6,7 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.signals import Signal
 from beryljunction.platform import HostBounds, HostSettings
@@ -64,7 +64,7 @@
         news: Set when data or a confirmation has arrived from the store or from another entry.
     """
 
-    def __init__(self, host: HostSettings, events: Events) -> None:
+    def __init__(self, host: HostSettings, events: EntryEventLog) -> None:
         bounds = self.bounds = host.bounds
         self.host = host
         self.events = events
--- a/src/beryljunction/local/platform.py
+++ b/src/beryljunction/local/platform.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.abc
 
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.platform import HostBounds, HostSettings
 from beryljunction.servers import Server, bind
@@ -44,7 +44,7 @@
         self.store = PlatformStoreStandIn()
         self.endpoints: dict[str, PlatformEndpointStandIn] = {}
 
-    async def start(self, events: Events | None = None) -> None:
+    async def start(self, events: EntryEventLog | None = None) -> None:
         """Start the stand-ins and the entry, without waiting until the entry is ready."""
         store = await self._listen(self.store)
         self._put("keyed.op", "config", json.dumps(_config()).encode())
@@ -64,7 +64,7 @@
             store=store,
             bounds=HostBounds(),
         )
-        entry = EntryProcess(self.host, events or Events("entry-local", "local"))
+        entry = EntryProcess(self.host, events or EntryEventLog("entry-local", "local"))
         self._group.start_soon(entry.run)
 
     def _put(self, topic: str, key: str, value: bytes) -> None:
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -12,7 +12,7 @@
 from beryljunction.fuzz.platform.virtual import VirtualLoop, virtual_clock
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.known import Known, known_here
 from beryljunction.gateway.membership import EndpointWatcher
@@ -39,7 +39,7 @@
 
 
 class NoLines:
-    dropped = 0
+    dropped_lines = 0
 
     def write(self, text):
         pass
@@ -222,7 +222,7 @@
 
     def start(self, name, address):
         host = HostSettings(name, "a", "r", address, ("", 2), ("", 3), self.bounds)
-        state = EntryState(host, Events(name, "a", NoLines()))
+        state = EntryState(host, EntryEventLog(name, "a", NoLines()))
         state.random.seed(f"{name}/{self.draw.random()}")
         member = Member(name, state, CountingStore(self.model, self.loop), address)
         self.members[name] = member
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -11,7 +11,7 @@
 import anyio
 
 from beryljunction.gateway.callers import CallerConnection
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.platform import HostBounds, HostSettings
 from beryljunction.servers import Server, bind
@@ -28,7 +28,7 @@
 
     def __init__(self):
         self.lines = []
-        self.dropped = 0
+        self.dropped_lines = 0
 
     def write(self, text):
         self.lines.append(text.strip())
@@ -214,7 +214,7 @@
             metrics=None if self.operator_keys is None else ("127.0.0.1", ports[2]),
             operator_keys=self.operator_keys or "",
         )
-        self.entry = EntryProcess(self.host, Events("entry-1", "a", self.lines), early)
+        self.entry = EntryProcess(self.host, EntryEventLog("entry-1", "a", self.lines), early)
         self.group.start_soon(self.entry.run)
         await self.until(self.is_ready)
 
--- a/testing/test_entry_events.py
+++ b/testing/test_entry_events.py
@@ -1,7 +1,7 @@
 import os
 import time
 
-from beryljunction.gateway.events import Events, LineWriter
+from beryljunction.gateway.events import EntryEventLog, LineWriter
 from platform_world import Lines
 
 
@@ -26,7 +26,7 @@
             os.close(write_fd)
 
         assert took_s < 1.0
-        assert 800 < writer.dropped < 1_000
+        assert 800 < writer.dropped_lines < 1_000
         assert read.startswith(line.encode() * 4)
 
     def test_write_to_a_closed_pipe_drops_the_line(self):
@@ -37,13 +37,13 @@
         writer.write("one\n")
         os.close(write_fd)
 
-        assert writer.dropped == 1
+        assert writer.dropped_lines == 1
 
 
 class TestEvents:
     def test_line_rate_is_limited_and_left_out_lines_are_reported(self):
         lines = Lines()
-        events = Events("entry-1", "a", lines)
+        events = EntryEventLog("entry-1", "a", lines)
 
         for number in range(1_000):
             events.write("refused", request_id=f"q{number}", reason="no_endpoint")
--- a/testing/test_entry_metrics.py
+++ b/testing/test_entry_metrics.py
@@ -11,7 +11,7 @@
     def test_latencies_are_cumulative_histograms(self):
         metrics = EntryMetrics()
         for first_ms in (5.0, 30.0, 30.0, 99_000.0):
-            metrics.count("answered", {"status": 200, "first_ms": first_ms, "whole_ms": 1.0})
+            metrics.count_event("answered", {"status": 200, "first_ms": first_ms, "whole_ms": 1.0})
 
         text = metrics.render().decode()
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from beryljunction.gateway import following, known, peers, state
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.known import Known, known_here
 from beryljunction.gateway.membership import EndpointWatcher
@@ -130,7 +130,7 @@
 
     def __init__(self, name, lines):
         host = HostSettings(name, "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
-        self.state = EntryState(host, Events(name, "a", lines))
+        self.state = EntryState(host, EntryEventLog(name, "a", lines))
         self.config = ConfigWatcher(NoStore(), self.state)
         self.endpoints = EndpointWatcher(NoStore(), self.state)
         self.config.take_from_peer(CONFIG)
@@ -228,7 +228,7 @@
     )
     first = attrs.evolve(first, peers=addresses[3])
     for settings in (first, host):
-        process = EntryProcess(settings, Events(settings.host, "a", world.lines))
+        process = EntryProcess(settings, EntryEventLog(settings.host, "a", world.lines))
         world.group.start_soon(process.run)
     pair = Pair(world, store, host)
 
@@ -307,7 +307,7 @@
                     probes=("127.0.0.1", 0),
                     peers=taken.getsockname(),
                 )
-                process = EntryProcess(host, Events("entry-2", "a", world.lines))
+                process = EntryProcess(host, EntryEventLog("entry-2", "a", world.lines))
                 world.group.start_soon(process.run)
                 await anyio.sleep(0.3)
                 status = (await world.send_to(host.callers, world.message()))[0]
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -4,7 +4,7 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import (
@@ -127,7 +127,7 @@
         state, store = (
             EntryState(
                 HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds()),
-                Events("e", "a", Lines()),
+                EntryEventLog("e", "a", Lines()),
             ),
             SlowStore(),
         )
@@ -326,7 +326,7 @@
 
 def follow_config(store):
     host = HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
-    return ConfigWatcher(store, EntryState(host, Events("e", "a", Lines())))
+    return ConfigWatcher(store, EntryState(host, EntryEventLog("e", "a", Lines())))
 
 
 class TestConfirming:
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -4,7 +4,7 @@
 import attrs
 import pytest
 
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.listening import open_listener
 from beryljunction.platform import HostBounds
@@ -285,7 +285,7 @@
             async with open_world(route()) as world:
                 early = open_listener(("127.0.0.1", 0))
                 host = attrs.evolve(world.host, callers=("127.0.0.1", 0), probes=("127.0.0.1", 0))
-                second = EntryProcess(host, Events("entry-2", "a", world.lines), early)
+                second = EntryProcess(host, EntryEventLog("entry-2", "a", world.lines), early)
                 world.group.start_soon(second.run)
                 await anyio.sleep(0.3)
                 return early.fileno()
@@ -295,7 +295,7 @@
     def test_address_in_use_raises_start_error(self):
         async def run():
             async with open_world(route()) as world:
-                second = EntryProcess(world.host, Events("entry-2", "a", world.lines))
+                second = EntryProcess(world.host, EntryEventLog("entry-2", "a", world.lines))
                 await second.run()
 
         with pytest.raises(BaseException) as caught:  # noqa: PT011 - inside exception groups
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -1,6 +1,6 @@
 import anyio
 
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.local import LocalPlatform
 from platform_world import Lines, World
 
@@ -15,7 +15,7 @@
         async def run():
             async with anyio.create_task_group() as group:
                 local = LocalPlatform(group)
-                await local.start(Events("entry-local", "local", Lines()))
+                await local.start(EntryEventLog("entry-local", "local", Lines()))
 
                 async def is_ready():
                     try:
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -6,7 +6,7 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.events import Events
+from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.news import News
 from beryljunction.gateway.peers import HttpPeerLink, PeerHandler, PeerLink
 from beryljunction.gateway.sharing import ShareNews
@@ -103,7 +103,7 @@
 def entry_state():
     free = ("127.0.0.1", 1)
     host = HostSettings("me", "zone", "region", free, free, free, HostBounds())
-    return EntryState(host, Events("me", "zone"))
+    return EntryState(host, EntryEventLog("me", "zone"))
 
 
 class TestShareNews:
