--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -18,12 +18,21 @@
 from beryljunction.standins import PlatformStoreStandIn
 from ports import free_ports
 
-__all__ = ["Answer", "Lines", "ScriptedEndpoint", "World", "event", "open_world", "reset", "route"]
+__all__ = [
+    "AnswerBuilder",
+    "CapturedLog",
+    "ScriptedEndpoint",
+    "EntryHarness",
+    "event",
+    "open_harness",
+    "reset",
+    "route",
+]
 
 SIGNATURE = "x-server-signature: signed"
 
 
-class Lines:
+class CapturedLog:
     """Collects log lines in place of standard output."""
 
     def __init__(self):
@@ -70,7 +79,7 @@
     return f"id: {number}\ndata: piece{number}\n\n".encode()
 
 
-class Answer:
+class AnswerBuilder:
     """Builds the bytes of an endpoint's answer to a request."""
 
     def __init__(self, head, request_id):
@@ -116,7 +125,7 @@
             number = len(self.requests)
             self.requests.append((head, body))
             found = re.search(r"x-request-id: (\S+)", head)
-            answer = Answer(head, found[1] if found else "")
+            answer = AnswerBuilder(head, found[1] if found else "")
             watch = asyncio.ensure_future(self._watch(reader, number))
             if self.script is None:
                 writer.write(answer.whole())
@@ -148,7 +157,7 @@
         return json.dumps(values).encode()
 
 
-class World:
+class EntryHarness:
     """One entry with its store, endpoints, settings and collected log lines."""
 
     def __init__(self, group, bounds, operator_keys, held):
@@ -157,7 +166,7 @@
         self.operator_keys = operator_keys
         self.bounds = bounds
         self.store = PlatformStoreStandIn()
-        self.lines = Lines()
+        self.lines = CapturedLog()
         self.version = 0
         self.endpoints = {}
         self.entry = None
@@ -199,10 +208,10 @@
         self.put("keyed.servers", name, endpoint.record())
         return endpoint
 
-    async def start_entry(self, early=None):
+    async def start_entry(self, early_socket=None):
         ports = [next(self.ports) for _ in range(3)]
-        if early is not None:
-            ports[0] = early.getsockname()[1]
+        if early_socket is not None:
+            ports[0] = early_socket.getsockname()[1]
         self.host = HostSettings(
             host="entry-1",
             availability_zone="a",
@@ -214,7 +223,9 @@
             metrics=None if self.operator_keys is None else ("127.0.0.1", ports[2]),
             operator_keys=self.operator_keys or "",
         )
-        self.entry = EntryProcess(self.host, EntryEventLog("entry-1", "a", self.lines), early)
+        self.entry = EntryProcess(
+            self.host, EntryEventLog("entry-1", "a", self.lines), early_socket
+        )
         self.group.start_soon(self.entry.run)
         await self.until(self.is_ready)
 
@@ -296,20 +307,20 @@
 
 
 @contextlib.asynccontextmanager
-async def open_world(*routes, bounds=None, start=True, operator_keys=None):
+async def open_harness(*routes, bounds=None, start=True, operator_keys=None):
     """Open a world with a configuration and, unless `start` is false, a ready entry.
 
     If operator keys are given, even an empty string, the entry also serves the metrics address.
     """
     with contextlib.ExitStack() as held:
         async with anyio.create_task_group() as group:
-            world = World(group, bounds or HostBounds(), operator_keys, held)
-            await world.start_store()
+            harness = EntryHarness(group, bounds or HostBounds(), operator_keys, held)
+            await harness.start_store()
             if routes:
-                world.configure(*routes)
+                harness.configure(*routes)
             if start:
-                await world.start_entry()
+                await harness.start_entry()
             try:
-                yield world
+                yield harness
             finally:
                 group.cancel_scope.cancel()
--- a/testing/test_digest.py
+++ b/testing/test_digest.py
@@ -2,7 +2,7 @@
 import pytest
 
 from beryljunction.routing import request_digest
-from platform_world import open_world, reset, route
+from platform_world import open_harness, reset, route
 
 REQUEST = {
     "account": "acme",
@@ -45,12 +45,12 @@
             reset(writer)
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=end)
-                await world.known(1)
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=end)
+                await harness.known(1)
                 for request_id, body in (("q1", b"same"), ("q2", b"same"), ("q3", b"other")):
-                    await world.ask(request_id=request_id, body=body)
-                lines = world.lines.of("sent") + world.lines.of("attempt_ended")
+                    await harness.ask(request_id=request_id, body=body)
+                lines = harness.lines.of("sent") + harness.lines.of("attempt_ended")
             return [dict(part.partition("=")[::2] for part in line.split()) for line in lines]
 
         digests = {}
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -7,7 +7,7 @@
 from beryljunction.fuzz.platform.world import ENTRIES, PlatformWorld, behave
 from beryljunction.platform.requests import is_leaving, pause_s_of
 from beryljunction.routing import EndpointRegistry, StoreReachability, retry_after_s
-from platform_world import open_world, route
+from platform_world import open_harness, route
 from routing_fakes import endpoint
 
 LEAVING = ("server-leaving: 1",)
@@ -36,11 +36,11 @@
 
     def test_it_is_logged_once_and_not_forwarded_to_callers(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=responding(*LEAVING))
-                await world.known(1)
-                answers = [await world.ask(request_id="q1"), await world.ask(request_id="q2")]
-                return answers, world.lines.of("endpoint_leaving")
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=responding(*LEAVING))
+                await harness.known(1)
+                answers = [await harness.ask(request_id="q1"), await harness.ask(request_id="q2")]
+                return answers, harness.lines.of("endpoint_leaving")
 
         answers, lines = anyio.run(run)
 
@@ -95,15 +95,15 @@
         paused = responding("x-not-executed: 1", "retry-after: 1", status="503 Busy")
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=paused)
-                await world.known(1)
-                await world.ask(request_id="q1")
-                refused = await world.ask(request_id="q2", headers=("X-Deadline-Ms: 9000",))
-                await world.add_endpoint("e2")
-                await world.known(2)
-                served = await world.ask(request_id="q3")
-                return refused, served, len(world.endpoints["e1"].requests), world.lines
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=paused)
+                await harness.known(1)
+                await harness.ask(request_id="q1")
+                refused = await harness.ask(request_id="q2", headers=("X-Deadline-Ms: 9000",))
+                await harness.add_endpoint("e2")
+                await harness.known(2)
+                served = await harness.ask(request_id="q3")
+                return refused, served, len(harness.endpoints["e1"].requests), harness.lines
 
         refused, served, requests, lines = anyio.run(run)
 
--- a/testing/test_entry_events.py
+++ b/testing/test_entry_events.py
@@ -2,7 +2,7 @@
 import time
 
 from beryljunction.gateway.events import EntryEventLog, LineWriter
-from platform_world import Lines
+from platform_world import CapturedLog
 
 
 class TestLineWriter:
@@ -42,7 +42,7 @@
 
 class TestEvents:
     def test_line_rate_is_limited_and_left_out_lines_are_reported(self):
-        lines = Lines()
+        lines = CapturedLog()
         events = EntryEventLog("entry-1", "a", lines)
 
         for number in range(1_000):
--- a/testing/test_entry_metrics.py
+++ b/testing/test_entry_metrics.py
@@ -4,7 +4,7 @@
 import anyio
 
 from beryljunction.gateway.metrics import EntryMetrics
-from platform_world import open_world, route
+from platform_world import open_harness, route
 
 
 class TestEntryMetrics:
@@ -22,11 +22,11 @@
 
     def test_metrics_are_served_at_the_probes_address(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.ask(path="/nowhere/")
-                await world.ask()
+            async with open_harness(route()) as harness:
+                await harness.ask(path="/nowhere/")
+                await harness.ask()
                 data = b"GET /metrics HTTP/1.1\r\n\r\n"
-                return (await world.send_to(world.host.probes, data))[2].decode()
+                return (await harness.send_to(harness.host.probes, data))[2].decode()
 
         text = anyio.run(run)
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -21,7 +21,7 @@
 from beryljunction.routing import PeerTable, should_ask_peers
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreStandIn
-from platform_world import Lines, open_world, route
+from platform_world import CapturedLog, open_harness, route
 
 FAST = HostBounds(revocation_ms=3_000)
 CONFIG = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []}).encode()
@@ -165,7 +165,7 @@
         now = [0.0]
         for module in (peers, known, following, state):
             monkeypatch.setattr(module, "boot_time_s", lambda: now[0])
-        one, two = Entry("one", Lines()), Entry("two", Lines())
+        one, two = Entry("one", CapturedLog()), Entry("two", CapturedLog())
         one.ask_peer(two)
         two.ask_peer(one)
 
@@ -185,7 +185,7 @@
         """A peer has a newer version that can't be decoded here; its age is that version's."""
         for module in (peers, known):
             monkeypatch.setattr(module, "boot_time_s", lambda: 3.0)
-        one, two = Entry("one", Lines()), Entry("two", Lines())
+        one, two = Entry("one", CapturedLog()), Entry("two", CapturedLog())
         two.config.take_from_peer(CONFIG.replace(b"3", b"8"))
         two.state.lease.confirm(2.9)
         two.state.config_record = b"unreadable"
@@ -201,22 +201,22 @@
 class Pair:
     """A world with a second entry, which uses the same store with separate faults."""
 
-    world: object
+    harness: object
     store: PlatformStoreStandIn
     host: HostSettings
 
     async def ask(self, **fields):
-        return (await self.world.send_to(self.host.callers, self.world.message(**fields)))[0]
+        return (await self.harness.send_to(self.host.callers, self.harness.message(**fields)))[0]
 
 
-async def start_pair(world):
-    addresses = [("127.0.0.1", next(world.ports)) for _ in range(4)]
-    store = PlatformStoreStandIn(world.store.model)
+async def start_pair(harness):
+    addresses = [("127.0.0.1", next(harness.ports)) for _ in range(4)]
+    store = PlatformStoreStandIn(harness.store.model)
     server = Server(store, bind("127.0.0.1:0"))
-    await world.group.start(server.run_until_stopped)
+    await harness.group.start(server.run_until_stopped)
     store_address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
     host = attrs.evolve(
-        world.host,
+        harness.host,
         host="entry-2",
         callers=addresses[0],
         probes=addresses[1],
@@ -224,19 +224,19 @@
         peers=addresses[2],
     )
     first = attrs.evolve(
-        world.host, host="entry-3", callers=("127.0.0.1", 0), probes=("127.0.0.1", 0)
+        harness.host, host="entry-3", callers=("127.0.0.1", 0), probes=("127.0.0.1", 0)
     )
     first = attrs.evolve(first, peers=addresses[3])
     for settings in (first, host):
-        process = EntryProcess(settings, EntryEventLog(settings.host, "a", world.lines))
-        world.group.start_soon(process.run)
-    pair = Pair(world, store, host)
+        process = EntryProcess(settings, EntryEventLog(settings.host, "a", harness.lines))
+        harness.group.start_soon(process.run)
+    pair = Pair(harness, store, host)
 
     async def are_registered():
-        rows = world.store.model.newest("keyed.entries", "", 0.0)[0]
+        rows = harness.store.model.newest("keyed.entries", "", 0.0)[0]
         return len(rows) == 2
 
-    await world.until(are_registered)
+    await harness.until(are_registered)
     await anyio.sleep(0.3)
     return pair
 
@@ -251,23 +251,23 @@
         """
 
         async def run():
-            async with open_world(route(), bounds=FAST) as world:
-                await world.add_endpoint("e1")
-                pair = await start_pair(world)
+            async with open_harness(route(), bounds=FAST) as harness:
+                await harness.add_endpoint("e1")
+                pair = await start_pair(harness)
                 setattr(pair.store.faults, fault, True)
                 await anyio.sleep(4.0)
                 before = await pair.ask()
-                world.configure(route("/new/", service="other"))
-                await world.add_endpoint("e2", service="other")
+                harness.configure(route("/new/", service="other"))
+                await harness.add_endpoint("e2", service="other")
                 await anyio.sleep(1.5)
                 after = await pair.ask(path="/new/1", request_id="q2")
 
                 async def is_logged():
-                    return world.lines.of("settings_by_peer")
+                    return harness.lines.of("settings_by_peer")
 
                 # A long poll that the store never answers ends 11 s after it began.
-                await world.until(is_logged)
-                return before, after, world.lines.of("settings_by_peer")
+                await harness.until(is_logged)
+                return before, after, harness.lines.of("settings_by_peer")
 
         before, after, lines = anyio.run(run)
 
@@ -282,12 +282,12 @@
         """
 
         async def run():
-            async with open_world(route(), bounds=FAST) as world:
-                one = await world.add_endpoint("e1")
-                pair = await start_pair(world)
+            async with open_harness(route(), bounds=FAST) as harness:
+                one = await harness.add_endpoint("e1")
+                pair = await start_pair(harness)
                 pair.store.faults.busy = True
                 await anyio.sleep(2.5)
-                world.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
+                harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(1.0)
                 sends = len(one.requests)
                 return await pair.ask(), len(one.requests) - sends
@@ -298,20 +298,20 @@
         """Another process has the port for peers; the entry must serve callers all the same."""
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
                 taken = open_listener(("127.0.0.1", 0))
                 host = attrs.evolve(
-                    world.host,
-                    callers=("127.0.0.1", next(world.ports)),
+                    harness.host,
+                    callers=("127.0.0.1", next(harness.ports)),
                     probes=("127.0.0.1", 0),
                     peers=taken.getsockname(),
                 )
-                process = EntryProcess(host, EntryEventLog("entry-2", "a", world.lines))
-                world.group.start_soon(process.run)
+                process = EntryProcess(host, EntryEventLog("entry-2", "a", harness.lines))
+                harness.group.start_soon(process.run)
                 await anyio.sleep(0.3)
-                status = (await world.send_to(host.callers, world.message()))[0]
-                return status, world.lines.of("peers_unavailable")
+                status = (await harness.send_to(host.callers, harness.message()))[0]
+                return status, harness.lines.of("peers_unavailable")
 
         status, lines = anyio.run(run)
 
@@ -325,7 +325,7 @@
 
         In a fleet of a hundred entries, the sum of the shares would exceed the fleet's budget.
         """
-        entry = Entry("e", Lines())
+        entry = Entry("e", CapturedLog())
         bounds = attrs.evolve(entry.state.bounds, repeat_slack=54)
         entry.state.apply_bounds(bounds)
         announcing = Registration(NoStore(), entry.state, entry.table, ("127.0.0.1", 1))
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -3,7 +3,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import HostBounds, HostSettings
-from platform_world import Lines
+from platform_world import CapturedLog
 from routing_fakes import config_of, endpoint, route_of
 
 BOUNDS = HostBounds(cold_overshoot=1.0)
@@ -11,7 +11,7 @@
 
 def state_of(*records):
     host = HostSettings("h", "a", "r", ("", 1), ("", 2), ("", 3), BOUNDS)
-    state = EntryState(host, EntryEventLog("h", "a", Lines()))
+    state = EntryState(host, EntryEventLog("h", "a", CapturedLog()))
     state.apply(config_of(route_of()), b"")
     state.registry.replace(records, 0.0)
     return state
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -4,7 +4,7 @@
 from beryljunction.cli.explain import explain as explain_command
 from beryljunction.explain import explain, parse_line
 from beryljunction.platform import HostBounds
-from platform_world import open_world, reset, route
+from platform_world import open_harness, reset, route
 from routing_fakes import known
 
 
@@ -18,13 +18,13 @@
 
     def test_request_refused_during_a_store_outage(self):
         async def run():
-            async with open_world(route(), bounds=HostBounds(revocation_ms=2_000)) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.store.faults.busy = True
+            async with open_harness(route(), bounds=HostBounds(revocation_ms=2_000)) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.store.faults.busy = True
                 await anyio.sleep(2.2)
-                status = (await world.ask(request_id="late1"))[0]
-                return status, world.lines.lines
+                status = (await harness.ask(request_id="late1"))[0]
+                return status, harness.lines.lines
 
         status, lines = anyio.run(run)
         story = story_of("late1", lines)
@@ -39,11 +39,11 @@
             reset(writer)
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=die)
-                await world.known(1)
-                status = (await world.ask(request_id="pay7"))[0]
-                return status, world.lines.lines
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=die)
+                await harness.known(1)
+                status = (await harness.ask(request_id="pay7"))[0]
+                return status, harness.lines.lines
 
         status, lines = anyio.run(run)
         story = story_of("pay7", lines)
@@ -55,13 +55,13 @@
 
     def test_request_with_a_revoked_key(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(0.2)
-                status = (await world.ask(request_id="old9"))[0]
-                return status, world.lines.lines
+                status = (await harness.ask(request_id="old9"))[0]
+                return status, harness.lines.lines
 
         status, lines = anyio.run(run)
         story = story_of("old9", lines)
@@ -73,13 +73,13 @@
 
     def test_request_while_all_zones_are_evacuated(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.put("keyed.op", "evacuate/a", b"{}")
-                await world.until(world.evacuated)
-                status = (await world.ask(request_id="none1"))[0]
-                return status, world.lines.lines
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.put("keyed.op", "evacuate/a", b"{}")
+                await harness.until(harness.evacuated)
+                status = (await harness.ask(request_id="none1"))[0]
+                return status, harness.lines.lines
 
         status, lines = anyio.run(run)
         story = story_of("none1", lines)
@@ -90,23 +90,23 @@
 
     def test_request_that_terminates_endpoints(self):
         async def end(answer, writer, number):
-            world.endpoints["e1"].server.close()
+            harness.endpoints["e1"].server.close()
             reset(writer)
 
         async def run():
-            nonlocal world
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=end)
-                await world.known(1)
-                await world.ask(request_id="bad1", body=b"bad")
-                (line,) = world.lines.of("endpoint_ended")
+            nonlocal harness
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=end)
+                await harness.known(1)
+                await harness.ask(request_id="bad1", body=b"bad")
+                (line,) = harness.lines.of("endpoint_ended")
                 digest = parse_line(line).get("digest")
                 for number in range(2):
-                    world.entry._state.quarantine.note_crash(digest, known(f"x{number}"))
-                status = (await world.ask(request_id="bad2", body=b"bad"))[0]
-                return status, world.lines.lines
+                    harness.entry._state.quarantine.note_crash(digest, known(f"x{number}"))
+                status = (await harness.ask(request_id="bad2", body=b"bad"))[0]
+                return status, harness.lines.lines
 
-        world = None
+        harness = None
         status, lines = anyio.run(run)
         story = story_of("bad2", lines)
 
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -17,7 +17,7 @@
     Unavailable,
     Written,
 )
-from platform_world import Lines, open_world, route
+from platform_world import CapturedLog, open_harness, route
 
 FAST = HostBounds(revocation_ms=3_000)
 
@@ -25,13 +25,13 @@
 class TestSettings:
     def test_change_takes_effect_at_once(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                before = (await world.ask(path="/new/"))[0]
-                world.configure(route(), route("/new/"))
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                before = (await harness.ask(path="/new/"))[0]
+                harness.configure(route(), route("/new/"))
                 await anyio.sleep(0.2)
-                return before, (await world.ask(path="/new/"))[0]
+                return before, (await harness.ask(path="/new/"))[0]
 
         assert anyio.run(run) == (404, 200)
 
@@ -40,12 +40,12 @@
     )
     def test_invalid_settings_leave_the_last_valid_ones_in_force(self, value):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.put("keyed.op", "config", value)
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.put("keyed.op", "config", value)
                 await anyio.sleep(0.2)
-                return (await world.ask())[0], world.lines.of("settings_refused")
+                return (await harness.ask())[0], harness.lines.of("settings_refused")
 
         status, lines = anyio.run(run)
 
@@ -60,15 +60,15 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                record = world.store.model.newest("keyed.op", "", 0.0)[0][0][2]
-                world.configure(route(), route("/new/"))
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                record = harness.store.model.newest("keyed.op", "", 0.0)[0][0][2]
+                harness.configure(route(), route("/new/"))
                 await anyio.sleep(0.2)
-                world.put("keyed.op", "config", record)
+                harness.put("keyed.op", "config", record)
                 await anyio.sleep(0.2)
-                return (await world.ask(path="/new/"))[0]
+                return (await harness.ask(path="/new/"))[0]
 
         assert anyio.run(run) == 200
 
@@ -81,35 +81,35 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                old = world.store.model.newest("keyed.op", "", 0.0)[0][0][2]
-                world.store.faults.busy = True
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                old = harness.store.model.newest("keyed.op", "", 0.0)[0][0][2]
+                harness.store.faults.busy = True
                 await anyio.sleep(2.0)
-                world.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
-                world.put("keyed.op", "config", old)
-                world.store.faults.busy = False
+                harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
+                harness.put("keyed.op", "config", old)
+                harness.store.faults.busy = False
                 await anyio.sleep(1.0)
-                return (await world.ask())[0]
+                return (await harness.ask())[0]
 
         assert anyio.run(run) == 401
 
     def test_expired_history_is_replaced_by_a_snapshot(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.store.faults.busy = True
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.store.faults.busy = True
                 await anyio.sleep(0.3)
-                world.configure(route(), route("/new/"))
-                await world.add_endpoint("e2")
-                world.put("keyed.servers", "e1", None)
+                harness.configure(route(), route("/new/"))
+                await harness.add_endpoint("e2")
+                harness.put("keyed.servers", "e1", None)
                 for topic in ("keyed.op", "keyed.servers"):
-                    world.store.model.compact(topic)
-                world.store.faults.busy = False
+                    harness.store.model.compact(topic)
+                harness.store.faults.busy = False
                 await anyio.sleep(1.0)
-                return (await world.ask(path="/new/"))[0], world.lines.of("history_expired")
+                return (await harness.ask(path="/new/"))[0], harness.lines.of("history_expired")
 
         status, lines = anyio.run(run)
 
@@ -127,7 +127,7 @@
         state, store = (
             EntryState(
                 HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds()),
-                EntryEventLog("e", "a", Lines()),
+                EntryEventLog("e", "a", CapturedLog()),
             ),
             SlowStore(),
         )
@@ -169,12 +169,12 @@
 class TestKeys:
     def test_revoked_key_is_refused(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(0.2)
-                return (await world.ask())[0]
+                return (await harness.ask())[0]
 
         assert anyio.run(run) == 401
 
@@ -188,20 +188,20 @@
         """
 
         async def run():
-            async with open_world(route(), bounds=FAST) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
-                setattr(world.store.faults, fault, True)
+            async with open_harness(route(), bounds=FAST) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
+                setattr(harness.store.faults, fault, True)
                 begun_s = anyio.current_time()
-                world.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
-                first = (await world.ask())[0]
+                harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
+                first = (await harness.ask())[0]
                 await anyio.sleep_until(begun_s + 3.0)
                 sends = len(one.requests)
-                cut_off = (await world.ask(request_id="q2"))[0]
-                ready = await world.is_ready()
-                setattr(world.store.faults, fault, False)
-                await world.until(world.is_ready, 5.0)
-                back = (await world.ask(request_id="q3"))[0]
+                cut_off = (await harness.ask(request_id="q2"))[0]
+                ready = await harness.is_ready()
+                setattr(harness.store.faults, fault, False)
+                await harness.until(harness.is_ready, 5.0)
+                back = (await harness.ask(request_id="q3"))[0]
                 return first, cut_off, ready, back, len(one.requests) - sends
 
         assert anyio.run(run) == (200, 503, False, 401, 0)
@@ -209,13 +209,13 @@
     def test_route_without_keys_is_served_during_an_outage(self):
         async def run():
             free = route(**{"allow-anonymous": True})
-            async with open_world(free, bounds=FAST) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.store.faults.busy = True
+            async with open_harness(free, bounds=FAST) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.store.faults.busy = True
                 await anyio.sleep(3.2)
-                data = world.message().replace(b"X-Credential: key\r\n", b"")
-                return (await world.send_to(world.host.callers, data))[0]
+                data = harness.message().replace(b"X-Credential: key\r\n", b"")
+                return (await harness.send_to(harness.host.callers, data))[0]
 
         assert anyio.run(run) == 200
 
@@ -228,13 +228,13 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1")
-                await world.add_endpoint("e2")
-                await world.known(2)
-                world.put("keyed.servers", "e1", one.record(state="draining"))
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.add_endpoint("e2")
+                await harness.known(2)
+                harness.put("keyed.servers", "e1", one.record(state="draining"))
                 await anyio.sleep(1.0)
-                statuses = [(await world.ask(request_id=f"q{n}"))[0] for n in range(8)]
+                statuses = [(await harness.ask(request_id=f"q{n}"))[0] for n in range(8)]
                 return statuses, len(one.requests)
 
         assert anyio.run(run) == ([200] * 8, 0)
@@ -251,13 +251,13 @@
     )
     def test_invalid_record_is_refused_and_affects_no_other_endpoint(self, value):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                world.put("keyed.servers", "x1", value)
-                await world.add_endpoint("e2")
-                await world.known(2)
-                return (await world.ask())[0], world.lines.of("endpoint_refused")
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                harness.put("keyed.servers", "x1", value)
+                await harness.add_endpoint("e2")
+                await harness.known(2)
+                return (await harness.ask())[0], harness.lines.of("endpoint_refused")
 
         status, lines = anyio.run(run)
 
@@ -268,14 +268,14 @@
         """Endpoints may write at every heartbeat, and each read of the store costs money."""
 
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
-                before = world.store.calls["log-read"]
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
+                before = harness.store.calls["log-read"]
                 for _ in range(60):
-                    world.put("keyed.servers", "e1", one.record())
+                    harness.put("keyed.servers", "e1", one.record())
                     await anyio.sleep(0.05)
-                return world.store.calls["log-read"] - before
+                return harness.store.calls["log-read"] - before
 
         assert anyio.run(run) < 14
 
@@ -288,12 +288,12 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
+            async with open_harness(route()) as harness:
                 await anyio.sleep(2.2)
                 ages_s = []
                 for _ in range(30):
                     await anyio.sleep(0.1)
-                    ages_s.append(world.entry._state.lease.age_s(boot_time_s()))
+                    ages_s.append(harness.entry._state.lease.age_s(boot_time_s()))
                 return max(ages_s)
 
         assert anyio.run(run) < 1.8
@@ -326,7 +326,7 @@
 
 def follow_config(store):
     host = HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
-    return ConfigWatcher(store, EntryState(host, EntryEventLog("e", "a", Lines())))
+    return ConfigWatcher(store, EntryState(host, EntryEventLog("e", "a", CapturedLog())))
 
 
 class TestConfirming:
--- a/testing/test_gateway_callers.py
+++ b/testing/test_gateway_callers.py
@@ -1,7 +1,7 @@
 import anyio
 import pytest
 
-from platform_world import open_world, read_answer, route
+from platform_world import open_harness, read_answer, route
 
 PREFIX = b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q1\r\nX-Credential: key\r\n"
 
@@ -10,10 +10,10 @@
     """Send raw bytes; return the answers' status codes and the heads that reached the endpoint."""
 
     async def run():
-        async with open_world(route()) as world:
-            one = await world.add_endpoint("e1")
-            await world.known(1)
-            reader, writer = await world.connect()
+        async with open_harness(route()) as harness:
+            one = await harness.add_endpoint("e1")
+            await harness.known(1)
+            reader, writer = await harness.connect()
             writer.write(data)
             answers = [await read_answer(reader)]
             if more:
@@ -114,10 +114,10 @@
 
     def test_expect_100_continue_gets_an_interim_response(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                reader, writer = await world.connect()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                reader, writer = await harness.connect()
                 writer.write(PREFIX + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
                 interim = await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"ok")
@@ -135,14 +135,14 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                reader, writer = await world.connect()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                reader, writer = await harness.connect()
                 statuses = []
                 for pause_s in (0.0, 2.4):
                     await anyio.sleep(pause_s)
-                    writer.write(world.message())
+                    writer.write(harness.message())
                     statuses.append((await read_answer(reader))[0])
                 with anyio.fail_after(6):
                     assert await reader.read() == b""
@@ -154,10 +154,10 @@
         data = PREFIX.replace(b"HTTP/1.1", b"HTTP/1.0") + b"Content-Length: 0\r\n\r\n"
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                reader, writer = await world.connect()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                reader, writer = await harness.connect()
                 writer.write(data)
                 answer = await read_answer(reader)
                 return answer, await reader.read()
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryljunction.platform import HostBounds
-from platform_world import event, open_world, read_answer, reset, route
+from platform_world import event, open_harness, read_answer, reset, route
 
 STREAM = {"kind": "streaming", "service": "plain", "target-gap-ms": 400}
 
@@ -13,12 +13,12 @@
 class TestRequests:
     def test_request_is_forwarded_unchanged_except_for_fleet_headers(self):
         async def run():
-            async with open_world(route("/a b/".replace(" ", "%20"))) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
+            async with open_harness(route("/a b/".replace(" ", "%20"))) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
                 path = "/a%20b/x%2Fy/../z?q=1&q=%ff"
                 forged = ("X-Tenant: rich", "x-hold: 1", "X-PIN-MS: 9", "X-Other: kept")
-                answer = await world.ask(path=path, body=b"\x00\r\n0\r\n\r\n", headers=forged)
+                answer = await harness.ask(path=path, body=b"\x00\r\n0\r\n\r\n", headers=forged)
             return one, answer
 
         one, (status, head, body, _) = anyio.run(run)
@@ -41,12 +41,14 @@
 
     def test_chunked_body_is_forwarded_complete(self):
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
-                start = world.message().replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
+                start = harness.message().replace(
+                    b"Content-Length: 0", b"Transfer-Encoding: chunked"
+                )
                 data = start + b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
-                return await world.send_to(world.host.callers, data), one
+                return await harness.send_to(harness.host.callers, data), one
 
         answer, one = anyio.run(run)
 
@@ -55,11 +57,11 @@
 
     def test_connection_header_cannot_remove_the_request_id(self):
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
                 listed = ("Connection: X-Request-Id, X-Drop", "X-Drop: 1")
-                await world.ask(headers=listed)
+                await harness.ask(headers=listed)
             return one
 
         sent = anyio.run(run).requests[0][0]
@@ -78,10 +80,10 @@
     )
     def test_invalid_request_is_not_forwarded(self, fields, expected):
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1")
-                await world.known(1)
-                return (await world.ask(**fields))[0], one.requests
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1")
+                await harness.known(1)
+                return (await harness.ask(**fields))[0], one.requests
 
         assert anyio.run(run) == (expected, [])
 
@@ -98,11 +100,11 @@
             reset(writer)
 
         async def run():
-            async with open_world(route(**{"max-attempts": 3})) as world:
-                one = await world.add_endpoint("e1", script=drop_connection)
-                two = await world.add_endpoint("e2", script=drop_connection)
-                await world.known(2)
-                return (await world.ask())[0], len(one.requests) + len(two.requests)
+            async with open_harness(route(**{"max-attempts": 3})) as harness:
+                one = await harness.add_endpoint("e1", script=drop_connection)
+                two = await harness.add_endpoint("e2", script=drop_connection)
+                await harness.known(2)
+                return (await harness.ask())[0], len(one.requests) + len(two.requests)
 
         assert anyio.run(run) == (502, 1)
 
@@ -111,10 +113,10 @@
             writer.write(answer.declined())
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=decline)
-                await world.known(1)
-                return await world.ask()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=decline)
+                await harness.known(1)
+                return await harness.ask()
 
         status, head, _, _ = anyio.run(run)
 
@@ -133,12 +135,12 @@
 
         async def run():
             free = route(kind="idempotent", **{"max-attempts": 2})
-            async with open_world(free) as world:
+            async with open_harness(free) as harness:
                 for name in ("e1", "e2"):
-                    await world.add_endpoint(name, script=fail_first)
-                await world.known(2)
-                world.entry._state.share("plain")._slack = 5
-                return await world.ask()
+                    await harness.add_endpoint(name, script=fail_first)
+                await harness.known(2)
+                harness.entry._state.share("plain")._slack = 5
+                return await harness.ask()
 
         assert anyio.run(run)[0] == 200
 
@@ -150,12 +152,12 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                dead = await world.add_endpoint("e1")
+            async with open_harness(route()) as harness:
+                dead = await harness.add_endpoint("e1")
                 dead.server.close()
-                await world.add_endpoint("e2")
-                await world.known(2)
-                return [(await world.ask())[0] for _ in range(6)]
+                await harness.add_endpoint("e2")
+                await harness.known(2)
+                return [(await harness.ask())[0] for _ in range(6)]
 
         assert anyio.run(run) == [200] * 6
 
@@ -183,10 +185,10 @@
 
         async def run():
             kind = "idempotent" if repeat else "non_idempotent"
-            async with open_world(route(kind=kind)) as world:
-                await world.add_endpoint("e1", script=send_invalid_answer)
-                await world.known(1)
-                return await world.ask()
+            async with open_harness(route(kind=kind)) as harness:
+                await harness.add_endpoint("e1", script=send_invalid_answer)
+                await harness.known(1)
+                return await harness.ask()
 
         status, head, _, _ = anyio.run(run)
 
@@ -198,13 +200,13 @@
             writer.write(answer.whole(body=b"first") + answer.whole(body=b"second"))
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=answer_twice)
-                await world.known(1)
-                reader, writer = await world.connect()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=answer_twice)
+                await harness.known(1)
+                reader, writer = await harness.connect()
                 bodies = []
                 for number in range(3):
-                    writer.write(world.message(request_id=f"q{number}"))
+                    writer.write(harness.message(request_id=f"q{number}"))
                     bodies.append((await read_answer(reader))[2])
                 writer.close()
                 return bodies
@@ -217,10 +219,10 @@
             writer.write(re.sub(rb"content-length: \d+\r\n", b"", data))
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=answer_without_length)
-                await world.known(1)
-                return await world.ask()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=answer_without_length)
+                await harness.known(1)
+                return await harness.ask()
 
         status, _, body, whole = anyio.run(run)
 
@@ -235,10 +237,10 @@
             reset(writer)
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=answer_without_length)
-                await world.known(1)
-                return (await world.ask())[0]
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=answer_without_length)
+                await harness.known(1)
+                return (await harness.ask())[0]
 
         assert anyio.run(run) == 502
 
@@ -247,10 +249,10 @@
             writer.write(answer.whole("500 Internal Server Error", b"broken"))
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=fail)
-                await world.known(1)
-                return await world.ask()
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=fail)
+                await harness.known(1)
+                return await harness.ask()
 
         status, head, body, _ = anyio.run(run)
 
@@ -267,11 +269,11 @@
             writer.write(answer.whole("413 Content Too Large", b"no"))
 
         async def run():
-            async with open_world(route()) as world:
-                one = await world.add_endpoint("e1", script=answer_early)
-                await world.known(1)
-                first = await world.ask(body=b"x" * 90_000)
-                second = await world.ask(request_id="q2")
+            async with open_harness(route()) as harness:
+                one = await harness.add_endpoint("e1", script=answer_early)
+                await harness.known(1)
+                first = await harness.ask(body=b"x" * 90_000)
+                second = await harness.ask(request_id="q2")
                 return first[0], second[0], len(one.requests)
 
         assert anyio.run(run) == (413, 413, 2)
@@ -283,11 +285,11 @@
             await asyncio.sleep(5)
 
         async def run():
-            async with open_world(route(**{"timeout-ms": 400})) as world:
-                one = await world.add_endpoint("e1", script=hang)
-                await world.known(1)
+            async with open_harness(route(**{"timeout-ms": 400})) as harness:
+                one = await harness.add_endpoint("e1", script=hang)
+                await harness.known(1)
                 started_s = anyio.current_time()
-                status = (await world.ask())[0]
+                status = (await harness.ask())[0]
                 took_s = anyio.current_time() - started_s
                 await anyio.sleep(0.1)
                 return status, took_s, len(one.ended)
@@ -308,24 +310,24 @@
             await asyncio.sleep(5)
 
         async def run():
-            async with open_world(route(kind="idempotent", **{"max-attempts": 2})) as world:
-                one = await world.add_endpoint("e1", script=hang)
-                await world.known(1)
-                _, writer = await world.connect()
-                writer.write(world.message())
-                await world.until(lambda: _true(one.requests))
+            async with open_harness(route(kind="idempotent", **{"max-attempts": 2})) as harness:
+                one = await harness.add_endpoint("e1", script=hang)
+                await harness.known(1)
+                _, writer = await harness.connect()
+                writer.write(harness.message())
+                await harness.until(lambda: _true(one.requests))
                 writer.close()
-                await world.until(lambda: _true(one.ended), 0.5)
+                await harness.until(lambda: _true(one.ended), 0.5)
                 await anyio.sleep(0.2)
-                return len(one.requests), world.entry._state.registry.find("e1").in_flight
+                return len(one.requests), harness.entry._state.registry.find("e1").in_flight
 
         assert anyio.run(run) == (1, 0)
 
     def test_request_is_refused_at_once_without_endpoints(self):
         async def run():
-            async with open_world(route()) as world:
+            async with open_harness(route()) as harness:
                 started_s = anyio.current_time()
-                status, head, _, _ = await world.ask()
+                status, head, _, _ = await harness.ask()
                 return status, anyio.current_time() - started_s, head
 
         status, took_s, head = anyio.run(run)
@@ -349,11 +351,11 @@
             writer.write(b"0\r\n\r\n")
 
         async def run():
-            async with open_world(route("/s/", **STREAM)) as world:
-                await world.add_endpoint("e1", script=stream_slowly)
-                await world.known(1)
-                reader, writer = await world.connect()
-                writer.write(world.message("/s/"))
+            async with open_harness(route("/s/", **STREAM)) as harness:
+                await harness.add_endpoint("e1", script=stream_slowly)
+                await harness.known(1)
+                reader, writer = await harness.connect()
+                writer.write(harness.message("/s/"))
                 await reader.readuntil(b"piece1")
                 first_s = anyio.current_time()
                 await reader.readuntil(b"0\r\n\r\n")
@@ -374,10 +376,10 @@
             reset(writer)
 
         async def run():
-            async with open_world(route("/s/", **STREAM)) as world:
-                one = await world.add_endpoint("e1", script=reset_mid_event)
-                await world.known(1)
-                return await world.ask(path="/s/"), len(one.requests)
+            async with open_harness(route("/s/", **STREAM)) as harness:
+                one = await harness.add_endpoint("e1", script=reset_mid_event)
+                await harness.known(1)
+                return await harness.ask(path="/s/"), len(one.requests)
 
         (status, _, body, whole), sends = anyio.run(run)
 
@@ -389,10 +391,10 @@
             writer.write(answer.stream_head() + data)
 
         async def run():
-            async with open_world(route("/s/", **STREAM)) as world:
-                await world.add_endpoint("e1", script=end_mid_event)
-                await world.known(1)
-                return await world.ask(path="/s/")
+            async with open_harness(route("/s/", **STREAM)) as harness:
+                await harness.add_endpoint("e1", script=end_mid_event)
+                await harness.known(1)
+                return await harness.ask(path="/s/")
 
         _, _, body, whole = anyio.run(run)
 
@@ -419,12 +421,12 @@
 
         async def run():
             fields = {**STREAM, "resume-streams": True, "max-attempts": 2}
-            async with open_world(route("/s/", **fields)) as world:
+            async with open_harness(route("/s/", **fields)) as harness:
                 for name in ("e1", "e2"):
-                    await world.add_endpoint(name, script=reset_or_resume)
-                await world.known(2)
-                world.entry._state.share("plain")._slack = 5
-                return await world.ask(path="/s/")
+                    await harness.add_endpoint(name, script=reset_or_resume)
+                await harness.known(2)
+                harness.entry._state.share("plain")._slack = 5
+                return await harness.ask(path="/s/")
 
         _, _, body, whole = anyio.run(run)
 
@@ -433,35 +435,35 @@
 
 
 class TestEvacuation:
-    async def evacuate(self, world, *zones):
+    async def evacuate(self, harness, *zones):
         for zone in zones:
-            world.put("keyed.op", f"evacuate/{zone}", b"{}")
-        await world.until(world.evacuated)
+            harness.put("keyed.op", f"evacuate/{zone}", b"{}")
+        await harness.until(harness.evacuated)
 
-    async def add(self, world, name, zone):
-        endpoint = await world.add_endpoint(name)
-        world.put("keyed.servers", name, endpoint.record(zone=zone))
+    async def add(self, harness, name, zone):
+        endpoint = await harness.add_endpoint(name)
+        harness.put("keyed.servers", name, endpoint.record(zone=zone))
         return endpoint
 
     def test_requests_are_sent_to_other_zones(self):
         async def run():
-            async with open_world(route()) as world:
-                one, two = await self.add(world, "e1", "a"), await self.add(world, "e2", "b")
-                await world.known(2)
-                await self.evacuate(world, "a")
-                answers = [(await world.ask(request_id=f"q{n}"))[0] for n in range(6)]
+            async with open_harness(route()) as harness:
+                one, two = await self.add(harness, "e1", "a"), await self.add(harness, "e2", "b")
+                await harness.known(2)
+                await self.evacuate(harness, "a")
+                answers = [(await harness.ask(request_id=f"q{n}"))[0] for n in range(6)]
                 return answers, len(one.requests), len(two.requests)
 
         assert anyio.run(run) == ([200] * 6, 0, 6)
 
     def test_request_is_refused_at_once_when_all_zones_are_evacuated(self):
         async def run():
-            async with open_world(route()) as world:
-                one = await self.add(world, "e1", "a")
-                await world.known(1)
-                await self.evacuate(world, "a")
+            async with open_harness(route()) as harness:
+                one = await self.add(harness, "e1", "a")
+                await harness.known(1)
+                await self.evacuate(harness, "a")
                 with anyio.fail_after(0.2):
-                    answer = await world.ask()
+                    answer = await harness.ask()
                 return answer, one.requests
 
         (status, head, body, _), requests = anyio.run(run)
@@ -475,19 +477,19 @@
             writer.write(answer.whole())
 
         async def run():
-            async with open_world(route()) as world:
-                one = await self.add(world, "e1", "a")
+            async with open_harness(route()) as harness:
+                one = await self.add(harness, "e1", "a")
                 one.script = slow
-                await world.known(1)
+                await harness.known(1)
                 async with anyio.create_task_group() as group:
                     answers = []
 
                     async def ask():
-                        answers.append((await world.ask())[0])
+                        answers.append((await harness.ask())[0])
 
                     group.start_soon(ask)
                     await anyio.sleep(0.1)
-                    await self.evacuate(world, "a")
+                    await self.evacuate(harness, "a")
                 return answers
 
         assert anyio.run(run) == [200]
@@ -500,20 +502,20 @@
     # A cold endpoint takes four requests a second, of which three are divided among the entries.
     SERVICES = ({"name": "plain", "cold-start-s": 3, "cold-per-s": 4},)
 
-    async def ask_many(self, world, count):
-        world.entry._state.cold.note_entries(["entry-1"])
+    async def ask_many(self, harness, count):
+        harness.entry._state.cold.note_entries(["entry-1"])
         await anyio.sleep(1.1)
-        return [(await world.ask(request_id=f"q{n}"))[0] for n in range(count)]
+        return [(await harness.ask(request_id=f"q{n}"))[0] for n in range(count)]
 
     def test_requests_above_the_cold_rate_go_to_a_warm_endpoint(self):
         async def run():
-            async with open_world(bounds=self.BOUNDS, start=False) as world:
-                world.configure(route(), services=list(self.SERVICES))
-                cold, warm = await world.add_endpoint("e1"), await world.add_endpoint("e2")
-                await world.start_entry()
-                await world.known(2)
-                world.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
-                answers = await self.ask_many(world, 16)
+            async with open_harness(bounds=self.BOUNDS, start=False) as harness:
+                harness.configure(route(), services=list(self.SERVICES))
+                cold, warm = await harness.add_endpoint("e1"), await harness.add_endpoint("e2")
+                await harness.start_entry()
+                await harness.known(2)
+                harness.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
+                answers = await self.ask_many(harness, 16)
                 return answers, len(cold.requests), len(warm.requests)
 
         answers, cold, warm = anyio.run(run)
@@ -524,14 +526,14 @@
 
     def test_requests_above_the_cold_rate_are_refused_without_a_warm_endpoint(self):
         async def run():
-            async with open_world(bounds=self.BOUNDS, start=False) as world:
-                world.configure(route(), services=list(self.SERVICES))
-                cold = await world.add_endpoint("e1")
-                world.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
-                await world.start_entry()
-                await world.known(1)
-                answers = await self.ask_many(world, 5)
-                return answers, len(cold.requests), world.lines.of("refused")
+            async with open_harness(bounds=self.BOUNDS, start=False) as harness:
+                harness.configure(route(), services=list(self.SERVICES))
+                cold = await harness.add_endpoint("e1")
+                harness.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
+                await harness.start_entry()
+                await harness.known(1)
+                answers = await self.ask_many(harness, 5)
+                return answers, len(cold.requests), harness.lines.of("refused")
 
         answers, sent, refused = anyio.run(run)
 
--- a/testing/test_gateway_operators.py
+++ b/testing/test_gateway_operators.py
@@ -7,7 +7,7 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.gateway.operators import operator_digests
-from platform_world import open_world, route
+from platform_world import open_harness, route
 
 KEY = "operator-key"
 DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
@@ -23,22 +23,22 @@
 
 
 class TestOperatorHandler:
-    async def send_get(self, world, path, key):
+    async def send_get(self, harness, path, key):
         data = f"GET {path} HTTP/1.1\r\nAuthorization: Bearer {key}\r\n\r\n".encode()
-        answer = await world.send_to(world.host.metrics, data)
+        answer = await harness.send_to(harness.host.metrics, data)
         return answer[0], answer[2]
 
     def test_status_and_events_need_a_key(self):
         async def run():
-            async with open_world(route(), operator_keys=DIGEST) as world:
-                await world.ask(request_id="mine")
-                await world.ask(path="/nowhere/", request_id="other")
+            async with open_harness(route(), operator_keys=DIGEST) as harness:
+                await harness.ask(request_id="mine")
+                await harness.ask(path="/nowhere/", request_id="other")
                 events = "/beryl/v1/events?request_id=mine"
                 return (
-                    await self.send_get(world, "/beryl/v1/status", KEY),
-                    await self.send_get(world, events, KEY),
-                    await self.send_get(world, events, "wrong"),
-                    await self.send_get(world, "/metrics", "wrong"),
+                    await self.send_get(harness, "/beryl/v1/status", KEY),
+                    await self.send_get(harness, events, KEY),
+                    await self.send_get(harness, events, "wrong"),
+                    await self.send_get(harness, "/metrics", "wrong"),
                 )
 
         status_answer, events, wrong, metrics = anyio.run(run)
@@ -54,12 +54,12 @@
 
     def test_status_lists_evacuated_zones(self):
         async def run():
-            async with open_world(route(), operator_keys=DIGEST) as world:
-                world.put("keyed.op", "evacuate/north", b"{}")
-                await world.until(world.evacuated)
+            async with open_harness(route(), operator_keys=DIGEST) as harness:
+                harness.put("keyed.op", "evacuate/north", b"{}")
+                await harness.until(harness.evacuated)
                 return (
-                    await self.send_get(world, "/beryl/v1/status", KEY),
-                    await self.send_get(world, "/metrics", KEY),
+                    await self.send_get(harness, "/beryl/v1/status", KEY),
+                    await self.send_get(harness, "/metrics", KEY),
                 )
 
         status_answer, metrics = anyio.run(run)
@@ -70,8 +70,8 @@
 
     def test_status_is_refused_without_configured_keys(self):
         async def run():
-            async with open_world(route(), operator_keys="") as world:
-                return await self.send_get(world, "/beryl/v1/status", KEY)
+            async with open_harness(route(), operator_keys="") as harness:
+                return await self.send_get(harness, "/beryl/v1/status", KEY)
 
         assert anyio.run(run)[0] == 401
 
@@ -82,9 +82,9 @@
         config = tmp_path / "beryl.toml"
 
         async def run():
-            async with open_world(route(), operator_keys=DIGEST) as world:
-                await world.ask(request_id="mine")
-                at = ":".join(map(str, world.host.metrics))
+            async with open_harness(route(), operator_keys=DIGEST) as harness:
+                await harness.ask(request_id="mine")
+                at = ":".join(map(str, harness.host.metrics))
                 config.write_text(FILE)
                 return [
                     await anyio.to_thread.run_sync(lambda: status(config=config, at=at)),
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -8,7 +8,7 @@
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.listening import open_listener
 from beryljunction.platform import HostBounds
-from platform_world import event, open_world, read_answer, route
+from platform_world import event, open_harness, read_answer, route
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 STREAM = {"kind": "streaming", "timeout-ms": 9_000}
@@ -22,9 +22,9 @@
 class TestReadiness:
     def test_not_ready_before_settings_are_read(self):
         async def run():
-            async with open_world(start=False) as world:
+            async with open_harness(start=False) as harness:
                 with anyio.move_on_after(1.0) as scope:
-                    await world.start_entry()
+                    await harness.start_entry()
                 return scope.cancelled_caught
 
         assert anyio.run(run)
@@ -37,15 +37,15 @@
         """
 
         async def run():
-            async with open_world(route(), start=False) as world:
-                world.store.faults.busy = True
+            async with open_harness(route(), start=False) as harness:
+                harness.store.faults.busy = True
                 with anyio.move_on_after(1.0) as early:
-                    await world.start_entry()
-                world.store.faults.busy = False
-                await world.until(world.is_ready, 3.0)
-                await world.add_endpoint("e1")
-                await world.known(1)
-                return early.cancelled_caught, (await world.ask())[0]
+                    await harness.start_entry()
+                harness.store.faults.busy = False
+                await harness.until(harness.is_ready, 3.0)
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                return early.cancelled_caught, (await harness.ask())[0]
 
         assert anyio.run(run) == (True, 200)
 
@@ -60,17 +60,17 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=slow)
-                await world.known(1)
-                reader, writer = await world.connect()
-                writer.write(world.message())
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=slow)
+                await harness.known(1)
+                reader, writer = await harness.connect()
+                writer.write(harness.message())
                 await anyio.sleep(0.1)
-                world.entry.stop()
+                harness.entry.stop()
                 await anyio.sleep(0.05)
-                ready = (await world.send_to(world.host.probes, READY))[0]
+                ready = (await harness.send_to(harness.host.probes, READY))[0]
                 under_way = await read_answer(reader)
-                late = await world.ask(request_id="q2")
+                late = await harness.ask(request_id="q2")
                 return ready, under_way, late
 
         ready, under_way, late = anyio.run(run)
@@ -89,19 +89,19 @@
             writer.write(b"0\r\n\r\n")
 
         async def run():
-            async with open_world(route("/s/", **STREAM)) as world:
-                await world.add_endpoint("e1", script=trickle)
-                await world.known(1)
+            async with open_harness(route("/s/", **STREAM)) as harness:
+                await harness.add_endpoint("e1", script=trickle)
+                await harness.known(1)
                 async with anyio.create_task_group() as group:
                     answers = []
 
                     async def ask():
-                        data = world.message("/s/").replace(b": 2000", b": 9000")
-                        answers.append(await world.send_to(world.host.callers, data))
+                        data = harness.message("/s/").replace(b": 2000", b": 9000")
+                        answers.append(await harness.send_to(harness.host.callers, data))
 
                     group.start_soon(ask)
                     await anyio.sleep(0.3)
-                    world.entry.stop()
+                    harness.entry.stop()
                 return answers[0]
 
         _, _, body, whole = anyio.run(run)
@@ -111,16 +111,16 @@
 
     def test_idle_connection_is_closed_and_the_process_exits(self):
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                reader, writer = await world.connect()
-                writer.write(world.message())
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                reader, writer = await harness.connect()
+                writer.write(harness.message())
                 await read_answer(reader)
-                world.entry.stop()
+                harness.entry.stop()
                 with anyio.fail_after(4.0):
                     assert await reader.read() == b""
-                await world.until(lambda: _stopped(world), 4.0)
+                await harness.until(lambda: _stopped(harness), 4.0)
                 return True
 
         assert anyio.run(run)
@@ -133,19 +133,19 @@
         """
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1", script=slow)
-                await world.known(1)
-                reader, writer = await world.connect()
-                writer.write(world.message())
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1", script=slow)
+                await harness.known(1)
+                reader, writer = await harness.connect()
+                writer.write(harness.message())
                 await anyio.sleep(0.1)
-                world.entry.stop()
-                world.configure(route("/new/"))
-                world.entry.stop()
+                harness.entry.stop()
+                harness.configure(route("/new/"))
+                harness.entry.stop()
                 await anyio.sleep(0.2)
-                world.entry.stop()
-                late = (await world.ask(path="/new/", request_id="q2"))[0]
-                gone = (await world.ask(request_id="q3"))[0]
+                harness.entry.stop()
+                late = (await harness.ask(path="/new/", request_id="q2"))[0]
+                gone = (await harness.ask(request_id="q3"))[0]
                 return (await read_answer(reader))[0], late, gone
 
         assert anyio.run(run) == (200, 200, 404)
@@ -162,16 +162,16 @@
 
         async def run():
             bounds = HostBounds(grace_s=3.4)
-            async with open_world(route(**{"timeout-ms": 20_000}), bounds=bounds) as world:
-                await world.add_endpoint("e1", script=hang)
-                await world.known(1)
-                _, writer = await world.connect()
-                writer.write(world.message(headers=()).replace(b": 2000", b": 20000"))
+            async with open_harness(route(**{"timeout-ms": 20_000}), bounds=bounds) as harness:
+                await harness.add_endpoint("e1", script=hang)
+                await harness.known(1)
+                _, writer = await harness.connect()
+                writer.write(harness.message(headers=()).replace(b": 2000", b": 20000"))
                 await anyio.sleep(0.1)
                 started_s = anyio.current_time()
-                world.entry.stop()
-                await world.until(lambda: _stopped(world), 6.0)
-                return anyio.current_time() - started_s, world.lines.of("cut")
+                harness.entry.stop()
+                await harness.until(lambda: _stopped(harness), 6.0)
+                return anyio.current_time() - started_s, harness.lines.of("cut")
 
         took_s, cut = anyio.run(run)
 
@@ -179,8 +179,8 @@
         assert len(cut) == 1
 
 
-async def _stopped(world):
-    return bool(world.lines.of("stopped"))
+async def _stopped(harness):
+    return bool(harness.lines.of("stopped"))
 
 
 class TestReload:
@@ -193,14 +193,14 @@
         monkeypatch.setenv("BERYLJUNCTION_CONFIG", str(path))
 
         async def run():
-            async with open_world(route()) as world:
+            async with open_harness(route()) as harness:
                 path.write_text(FILE)
-                world.entry.reload()
-                good_s = world.entry._state.lease.revocation_s
+                harness.entry.reload()
+                good_s = harness.entry._state.lease.revocation_s
                 path.write_text(FILE.replace("2500", '"soon"'))
-                world.entry.reload()
-                kept_s = world.entry._state.lease.revocation_s
-                return good_s, kept_s, world.lines.of("reload_refused")
+                harness.entry.reload()
+                kept_s = harness.entry._state.lease.revocation_s
+                return good_s, kept_s, harness.lines.of("reload_refused")
 
         good_s, kept_s, refused = anyio.run(run)
 
@@ -227,13 +227,13 @@
         """An entry is killed and starts again without any saved state."""
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
                 started_s = anyio.current_time()
-                await world.start_entry()
-                await world.known(1)
-                status = (await world.ask())[0]
+                await harness.start_entry()
+                await harness.known(1)
+                status = (await harness.ask())[0]
                 return status, anyio.current_time() - started_s
 
         status, took_s = anyio.run(run)
@@ -251,12 +251,12 @@
         """
 
         async def run():
-            async with open_world(route(), start=False) as world:
-                await world.add_endpoint("e1")
+            async with open_harness(route(), start=False) as harness:
+                await harness.add_endpoint("e1")
                 early = open_listener(("127.0.0.1", 0))
                 reader, writer = await asyncio.open_connection(*early.getsockname())
-                writer.write(world.message())
-                await world.start_entry(early)
+                writer.write(harness.message())
+                await harness.start_entry(early)
                 return (await read_answer(reader))[0]
 
         assert anyio.run(run) == 200
@@ -268,13 +268,13 @@
         """
 
         async def run():
-            async with open_world(route(), start=False) as world:
-                world.store.faults.silent = True
+            async with open_harness(route(), start=False) as harness:
+                harness.store.faults.silent = True
                 early = open_listener(("127.0.0.1", 0))
                 reader, writer = await asyncio.open_connection(*early.getsockname())
-                writer.write(world.message())
+                writer.write(harness.message())
                 with anyio.move_on_after(0.8):
-                    await world.start_entry(early)
+                    await harness.start_entry(early)
                 status, head, _, _ = await read_answer(reader)
                 return status, "retry-after" in head
 
@@ -282,11 +282,11 @@
 
     def test_early_socket_at_another_address_is_not_used(self):
         async def run():
-            async with open_world(route()) as world:
+            async with open_harness(route()) as harness:
                 early = open_listener(("127.0.0.1", 0))
-                host = attrs.evolve(world.host, callers=("127.0.0.1", 0), probes=("127.0.0.1", 0))
-                second = EntryProcess(host, EntryEventLog("entry-2", "a", world.lines), early)
-                world.group.start_soon(second.run)
+                host = attrs.evolve(harness.host, callers=("127.0.0.1", 0), probes=("127.0.0.1", 0))
+                second = EntryProcess(host, EntryEventLog("entry-2", "a", harness.lines), early)
+                harness.group.start_soon(second.run)
                 await anyio.sleep(0.3)
                 return early.fileno()
 
@@ -294,8 +294,8 @@
 
     def test_address_in_use_raises_start_error(self):
         async def run():
-            async with open_world(route()) as world:
-                second = EntryProcess(world.host, EntryEventLog("entry-2", "a", world.lines))
+            async with open_harness(route()) as harness:
+                second = EntryProcess(harness.host, EntryEventLog("entry-2", "a", harness.lines))
                 await second.run()
 
         with pytest.raises(BaseException) as caught:  # noqa: PT011 - inside exception groups
--- a/testing/test_gateway_sockets.py
+++ b/testing/test_gateway_sockets.py
@@ -3,7 +3,7 @@
 import anyio
 
 from beryljunction.gateway import callers, calls, sockets
-from platform_world import open_world, route
+from platform_world import open_harness, route
 
 
 class TestTimeouts:
@@ -24,11 +24,11 @@
         monkeypatch.setattr(callers, "set_timeouts", note)
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
                 seen.clear()
-                return (await world.ask())[0]
+                return (await harness.ask())[0]
 
         assert anyio.run(run) == 200
         assert sorted(seen) == [(1_500, True), (8_000, True)]
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -8,7 +8,7 @@
 
 from beryljunction.platform import HostBounds
 from fanout_world import CountingStore, FleetWorld, StoreFault
-from platform_world import open_world, route
+from platform_world import open_harness, route
 
 # By then, every wait that began before an entry knew the others has ended.
 STARTED_S = 14.0
@@ -137,11 +137,11 @@
         """An on-call engineer has to see why a host sent a request to an endpoint that left."""
 
         async def run():
-            async with open_world(route()) as world:
-                await world.add_endpoint("e1")
-                await world.known(1)
-                await world.ask()
-                (line,) = world.lines.of("sent")
+            async with open_harness(route()) as harness:
+                await harness.add_endpoint("e1")
+                await harness.known(1)
+                await harness.ask()
+                (line,) = harness.lines.of("sent")
             return dict(part.partition("=")[::2] for part in line.split())
 
         sent = anyio.run(run)
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -2,7 +2,7 @@
 
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.local import LocalPlatform
-from platform_world import Lines, World
+from platform_world import CapturedLog, EntryHarness
 
 HEAD = (
     b"POST %b HTTP/1.1\r\nHost: demo.example\r\nX-Request-Id: q1\r\nX-Credential: demo-key\r\n"
@@ -15,18 +15,18 @@
         async def run():
             async with anyio.create_task_group() as group:
                 local = LocalPlatform(group)
-                await local.start(EntryEventLog("entry-local", "local", Lines()))
+                await local.start(EntryEventLog("entry-local", "local", CapturedLog()))
 
                 async def is_ready():
                     try:
                         data = b"GET / HTTP/1.1\r\n\r\n"
-                        return (await World.send_to(local.host.probes, data))[0] == 200
+                        return (await EntryHarness.send_to(local.host.probes, data))[0] == 200
                     except OSError:
                         return False
 
-                await World.until(is_ready)
-                stream = await World.send_to(local.host.callers, HEAD % b"/chat/1")
-                call = await World.send_to(local.host.callers, HEAD % b"/notes/1")
+                await EntryHarness.until(is_ready)
+                stream = await EntryHarness.send_to(local.host.callers, HEAD % b"/chat/1")
+                call = await EntryHarness.send_to(local.host.callers, HEAD % b"/notes/1")
                 runs = sum(len(endpoint.runs) for endpoint in local.endpoints.values())
                 group.cancel_scope.cancel()
                 return stream, call, runs
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -9,7 +9,7 @@
 from beryljunction.gateway.updates import Progress, Reply, TopicUpdate, Update, ZoneUpdate
 from beryljunction.platform import Record
 from fanout_world import FleetWorld, History, StoreFault
-from platform_world import open_world, route
+from platform_world import open_harness, route
 
 # An entry whose settings are this old is no longer ready, and its callers go to other entries.
 NOT_READY_S = 3.0
@@ -531,10 +531,10 @@
 
     def test_entry_that_does_not_answer_costs_only_the_timeout(self):
         async def run():
-            async with open_world(route(), start=False) as world:
-                world.store.faults.silent = True
+            async with open_harness(route(), start=False) as harness:
+                harness.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    silent = await HttpUpdateLink().update(world.store_address, b"{}")
+                    silent = await HttpUpdateLink().update(harness.store_address, b"{}")
                     refused = await HttpUpdateLink().update(("127.0.0.1", 1), b"{}")
                 return silent, refused
 
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -13,7 +13,7 @@
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, PeerTable, crash_counting_hosts, request_digest
 from fanout_world import FleetWorld
-from platform_world import open_world, reset, route
+from platform_world import open_harness, reset, route
 from routing_fakes import known
 
 # Time within which the platform guarantees that all entries know of a quarantine.
@@ -72,15 +72,15 @@
         digest = request_digest("acme", b"POST", "shop.example", b"/pay/1", b"bad")
 
         async def run():
-            async with open_world(route()) as world:
-                quarantine = world.entry._state.quarantine
-                await world.add_endpoint("e1")
-                await world.known(1)
+            async with open_harness(route()) as harness:
+                quarantine = harness.entry._state.quarantine
+                await harness.add_endpoint("e1")
+                await harness.known(1)
                 for number in range(3):
                     quarantine.note_crash(digest, known(f"x{number}"))
-                bad = await world.ask(body=b"bad")
-                good = await world.ask(body=b"good")
-                return bad, good, world.endpoints["e1"].requests, world.lines
+                bad = await harness.ask(body=b"bad")
+                good = await harness.ask(body=b"good")
+                return bad, good, harness.endpoints["e1"].requests, harness.lines
 
         bad, good, requests, lines = anyio.run(run)
 
@@ -111,21 +111,21 @@
 
     def test_endpoint_that_drains_and_ends_is_not_a_crash(self):
         async def leave_and_end(answer, writer, number):
-            registry = worlds[0].entry._state.registry
+            registry = harnesses[0].entry._state.registry
             record = registry.find("e1").record
             registry.put(attrs.evolve(record, is_draining=True), 0.0)
-            worlds[0].endpoints["e1"].server.close()
+            harnesses[0].endpoints["e1"].server.close()
             reset(writer)
 
-        worlds = []
+        harnesses = []
 
         async def run():
-            async with open_world(route()) as world:
-                worlds.append(world)
-                await world.add_endpoint("e1", script=leave_and_end)
-                await world.known(1)
-                await world.ask()
-                return world.lines.of("endpoint_ended")
+            async with open_harness(route()) as harness:
+                harnesses.append(harness)
+                await harness.add_endpoint("e1", script=leave_and_end)
+                await harness.known(1)
+                await harness.ask()
+                return harness.lines.of("endpoint_ended")
 
         assert anyio.run(run) == []
 
@@ -328,9 +328,9 @@
 
     def test_report_is_sent_and_answered_over_http(self):
         async def run():
-            async with open_world(route()) as world:
-                state = world.entry._state
-                server = await world.serve(PeerHandler(state, None, PeerTable(state.random)))
+            async with open_harness(route()) as harness:
+                state = harness.entry._state
+                server = await harness.serve(PeerHandler(state, None, PeerTable(state.random)))
                 answer = await HttpPeerLink().report(server, REPORT.encode())
                 bad = await HttpPeerLink().report(server, b"[]")
                 return CrashReport.decode(answer), bad, len(state.quarantine)
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -13,7 +13,7 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import HostBounds, HostSettings
 from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
-from platform_world import open_world, route
+from platform_world import open_harness, route
 from routing_fakes import endpoint
 
 SESSION = MovedSession(("common", "chat"), ("e1", 7))
@@ -222,11 +222,11 @@
 class TestPeerHandler:
     def test_invalid_messages_are_rejected_and_valid_ones_accepted(self):
         async def run():
-            async with open_world(route()) as world:
-                state = world.entry._state
+            async with open_harness(route()) as harness:
+                state = harness.entry._state
                 peers = PeerTable(random.Random(1))
                 handler = PeerHandler(state, None, peers)
-                server = await world.serve(handler)
+                server = await harness.serve(handler)
                 bad = []
                 for head, body in (
                     ("POST /v1/news", b"{}"),
@@ -234,7 +234,7 @@
                     ("GET /else", b""),
                 ):
                     data = f"{head} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-                    bad.append((await world.send_to(server, data + body))[0])
+                    bad.append((await harness.send_to(server, data + body))[0])
                 good = await HttpPeerLink().tell(server, news(SESSION).encode())
                 return bad, good, state._warm_placement._prefixes._parts["chat"]
 
@@ -246,10 +246,10 @@
 
     def test_peer_that_does_not_answer_costs_only_the_timeout(self):
         async def run():
-            async with open_world(route(), start=False) as world:
-                world.store.faults.silent = True
+            async with open_harness(route(), start=False) as harness:
+                harness.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    silent = await HttpPeerLink().tell(world.store_address, b"{}")
+                    silent = await HttpPeerLink().tell(harness.store_address, b"{}")
                     refused = await HttpPeerLink().tell(("127.0.0.1", 1), b"{}")
                 return silent, refused
 
