--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -45,7 +45,7 @@
     def flush(self):
         pass
 
-    def of(self, name):
+    def of_event(self, name):
         return [line for line in self.lines if f"event={name} " in line + " "]
 
 
@@ -227,7 +227,7 @@
             self.host, EntryEventLog("entry-1", "a", self.lines), early_socket
         )
         self.group.start_soon(self.entry.run)
-        await self.until(self.is_ready)
+        await self.wait_until(self.is_ready)
 
     @staticmethod
     async def serve(handler):
@@ -242,20 +242,20 @@
         return False
 
     @staticmethod
-    async def until(check, limit_s=10.0):
+    async def wait_until(check, limit_s=10.0):
         with anyio.fail_after(limit_s):
             while not await check():
                 await anyio.sleep(0.02)
 
-    async def known(self, count):
+    async def wait_for_endpoints(self, count):
         """Wait until the entry knows exactly this many endpoints."""
 
         async def check():
             return len(self.entry._state.registry) == count
 
-        await self.until(check)
+        await self.wait_until(check)
 
-    async def evacuated(self):
+    async def has_evacuated_zones(self):
         """Return whether the entry knows of an evacuated availability zone."""
         return bool(self.entry._state.evacuations.zones)
 
@@ -263,16 +263,16 @@
         return await asyncio.open_connection(*self.host.callers)
 
     @staticmethod
-    def message(path="/pay/1", body=b"", method="POST", request_id="q1", headers=()):
+    def request_bytes(path="/pay/1", body=b"", method="POST", request_id="q1", headers=()):
         lines = [f"{method} {path} HTTP/1.1", "Host: shop.example", f"X-Request-Id: {request_id}"]
         lines += ["X-Credential: key", "X-Deadline-Ms: 2000", *headers]
         if method != "GET":
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
-    async def ask(self, **fields):
+    async def send_request(self, **fields):
         """Send one request on a new connection; return status, head, body and completeness."""
-        return await self.send_to(self.host.callers, self.message(**fields))
+        return await self.send_to(self.host.callers, self.request_bytes(**fields))
 
     @staticmethod
     async def send_to(address, data):
--- a/testing/test_digest.py
+++ b/testing/test_digest.py
@@ -47,10 +47,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=end)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 for request_id, body in (("q1", b"same"), ("q2", b"same"), ("q3", b"other")):
-                    await harness.ask(request_id=request_id, body=body)
-                lines = harness.lines.of("sent") + harness.lines.of("attempt_ended")
+                    await harness.send_request(request_id=request_id, body=body)
+                lines = harness.lines.of_event("sent") + harness.lines.of_event("attempt_ended")
             return [dict(part.partition("=")[::2] for part in line.split()) for line in lines]
 
         digests = {}
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -38,9 +38,12 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=responding(*LEAVING))
-                await harness.known(1)
-                answers = [await harness.ask(request_id="q1"), await harness.ask(request_id="q2")]
-                return answers, harness.lines.of("endpoint_leaving")
+                await harness.wait_for_endpoints(1)
+                answers = [
+                    await harness.send_request(request_id="q1"),
+                    await harness.send_request(request_id="q2"),
+                ]
+                return answers, harness.lines.of_event("endpoint_leaving")
 
         answers, lines = anyio.run(run)
 
@@ -97,12 +100,14 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=paused)
-                await harness.known(1)
-                await harness.ask(request_id="q1")
-                refused = await harness.ask(request_id="q2", headers=("X-Deadline-Ms: 9000",))
+                await harness.wait_for_endpoints(1)
+                await harness.send_request(request_id="q1")
+                refused = await harness.send_request(
+                    request_id="q2", headers=("X-Deadline-Ms: 9000",)
+                )
                 await harness.add_endpoint("e2")
-                await harness.known(2)
-                served = await harness.ask(request_id="q3")
+                await harness.wait_for_endpoints(2)
+                served = await harness.send_request(request_id="q3")
                 return refused, served, len(harness.endpoints["e1"].requests), harness.lines
 
         refused, served, requests, lines = anyio.run(run)
@@ -110,7 +115,7 @@
         assert (refused[0], refused[2]) == (503, b"endpoints_paused\n")
         assert served[0] == 200
         assert requests == 1
-        assert "pause_s=1.0" in lines.of("endpoint_paused")[0]
+        assert "pause_s=1.0" in lines.of_event("endpoint_paused")[0]
 
     @pytest.mark.parametrize("opens_in_s", [0.0, 2.0])
     def test_retry_after_of_a_refused_caller_ends_when_an_endpoint_opens(self, opens_in_s):
--- a/testing/test_entry_events.py
+++ b/testing/test_entry_events.py
@@ -50,7 +50,7 @@
         time.sleep(1.05)
         events.write("refused", request_id="later", reason="no_endpoint")
 
-        assert len(lines.of("refused")) < 410
-        left_out = lines.of("lines_left_out")[0]
+        assert len(lines.of_event("refused")) < 410
+        left_out = lines.of_event("lines_left_out")[0]
         assert int(left_out.rpartition("lines=")[2]) >= 600
         assert b'beryl_refusals_total{reason="no_endpoint"} 1001.0' in events.metrics.render()
--- a/testing/test_entry_metrics.py
+++ b/testing/test_entry_metrics.py
@@ -23,8 +23,8 @@
     def test_metrics_are_served_at_the_probes_address(self):
         async def run():
             async with open_harness(route()) as harness:
-                await harness.ask(path="/nowhere/")
-                await harness.ask()
+                await harness.send_request(path="/nowhere/")
+                await harness.send_request()
                 data = b"GET /metrics HTTP/1.1\r\n\r\n"
                 return (await harness.send_to(harness.host.probes, data))[2].decode()
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -205,8 +205,10 @@
     store: PlatformStoreStandIn
     host: HostSettings
 
-    async def ask(self, **fields):
-        return (await self.harness.send_to(self.host.callers, self.harness.message(**fields)))[0]
+    async def send_request(self, **fields):
+        return (
+            await self.harness.send_to(self.host.callers, self.harness.request_bytes(**fields))
+        )[0]
 
 
 async def start_pair(harness):
@@ -236,7 +238,7 @@
         rows = harness.store.model.newest("keyed.entries", "", 0.0)[0]
         return len(rows) == 2
 
-    await harness.until(are_registered)
+    await harness.wait_until(are_registered)
     await anyio.sleep(0.3)
     return pair
 
@@ -256,18 +258,18 @@
                 pair = await start_pair(harness)
                 setattr(pair.store.faults, fault, True)
                 await anyio.sleep(4.0)
-                before = await pair.ask()
+                before = await pair.send_request()
                 harness.configure(route("/new/", service="other"))
                 await harness.add_endpoint("e2", service="other")
                 await anyio.sleep(1.5)
-                after = await pair.ask(path="/new/1", request_id="q2")
+                after = await pair.send_request(path="/new/1", request_id="q2")
 
                 async def is_logged():
-                    return harness.lines.of("settings_by_peer")
+                    return harness.lines.of_event("settings_by_peer")
 
                 # A long poll that the store never answers ends 11 s after it began.
-                await harness.until(is_logged)
-                return before, after, harness.lines.of("settings_by_peer")
+                await harness.wait_until(is_logged)
+                return before, after, harness.lines.of_event("settings_by_peer")
 
         before, after, lines = anyio.run(run)
 
@@ -290,7 +292,7 @@
                 harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(1.0)
                 sends = len(one.requests)
-                return await pair.ask(), len(one.requests) - sends
+                return await pair.send_request(), len(one.requests) - sends
 
         assert anyio.run(run) == (401, 0)
 
@@ -310,8 +312,8 @@
                 process = EntryProcess(host, EntryEventLog("entry-2", "a", harness.lines))
                 harness.group.start_soon(process.run)
                 await anyio.sleep(0.3)
-                status = (await harness.send_to(host.callers, harness.message()))[0]
-                return status, harness.lines.of("peers_unavailable")
+                status = (await harness.send_to(host.callers, harness.request_bytes()))[0]
+                return status, harness.lines.of_event("peers_unavailable")
 
         status, lines = anyio.run(run)
 
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -52,8 +52,8 @@
         state.replace_evacuations(["a"], 6)
         state.replace_evacuations([], 7)
 
-        assert len(state.events.writer.of("zone_evacuated")) == 1
-        assert len(state.events.writer.of("zone_returned")) == 1
+        assert len(state.events.writer.of_event("zone_evacuated")) == 1
+        assert len(state.events.writer.of_event("zone_returned")) == 1
 
     @pytest.mark.parametrize("zones", [["a"], ["a", "b"], ["nowhere"]])
     def test_ended_evacuation_restores_all_endpoints(self, zones):
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -20,10 +20,10 @@
         async def run():
             async with open_harness(route(), bounds=HostBounds(revocation_ms=2_000)) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.store.faults.busy = True
                 await anyio.sleep(2.2)
-                status = (await harness.ask(request_id="late1"))[0]
+                status = (await harness.send_request(request_id="late1"))[0]
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
@@ -41,8 +41,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=die)
-                await harness.known(1)
-                status = (await harness.ask(request_id="pay7"))[0]
+                await harness.wait_for_endpoints(1)
+                status = (await harness.send_request(request_id="pay7"))[0]
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
@@ -57,10 +57,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(0.2)
-                status = (await harness.ask(request_id="old9"))[0]
+                status = (await harness.send_request(request_id="old9"))[0]
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
@@ -75,10 +75,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.put("keyed.op", "evacuate/a", b"{}")
-                await harness.until(harness.evacuated)
-                status = (await harness.ask(request_id="none1"))[0]
+                await harness.wait_until(harness.has_evacuated_zones)
+                status = (await harness.send_request(request_id="none1"))[0]
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
@@ -97,13 +97,13 @@
             nonlocal harness
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=end)
-                await harness.known(1)
-                await harness.ask(request_id="bad1", body=b"bad")
-                (line,) = harness.lines.of("endpoint_ended")
+                await harness.wait_for_endpoints(1)
+                await harness.send_request(request_id="bad1", body=b"bad")
+                (line,) = harness.lines.of_event("endpoint_ended")
                 digest = parse_line(line).get("digest")
                 for number in range(2):
                     harness.entry._state.quarantine.note_crash(digest, known(f"x{number}"))
-                status = (await harness.ask(request_id="bad2", body=b"bad"))[0]
+                status = (await harness.send_request(request_id="bad2", body=b"bad"))[0]
                 return status, harness.lines.lines
 
         harness = None
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -27,11 +27,11 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
-                before = (await harness.ask(path="/new/"))[0]
+                await harness.wait_for_endpoints(1)
+                before = (await harness.send_request(path="/new/"))[0]
                 harness.configure(route(), route("/new/"))
                 await anyio.sleep(0.2)
-                return before, (await harness.ask(path="/new/"))[0]
+                return before, (await harness.send_request(path="/new/"))[0]
 
         assert anyio.run(run) == (404, 200)
 
@@ -42,10 +42,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.put("keyed.op", "config", value)
                 await anyio.sleep(0.2)
-                return (await harness.ask())[0], harness.lines.of("settings_refused")
+                return (await harness.send_request())[0], harness.lines.of_event("settings_refused")
 
         status, lines = anyio.run(run)
 
@@ -62,13 +62,13 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 record = harness.store.model.newest("keyed.op", "", 0.0)[0][0][2]
                 harness.configure(route(), route("/new/"))
                 await anyio.sleep(0.2)
                 harness.put("keyed.op", "config", record)
                 await anyio.sleep(0.2)
-                return (await harness.ask(path="/new/"))[0]
+                return (await harness.send_request(path="/new/"))[0]
 
         assert anyio.run(run) == 200
 
@@ -83,7 +83,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 old = harness.store.model.newest("keyed.op", "", 0.0)[0][0][2]
                 harness.store.faults.busy = True
                 await anyio.sleep(2.0)
@@ -91,7 +91,7 @@
                 harness.put("keyed.op", "config", old)
                 harness.store.faults.busy = False
                 await anyio.sleep(1.0)
-                return (await harness.ask())[0]
+                return (await harness.send_request())[0]
 
         assert anyio.run(run) == 401
 
@@ -99,7 +99,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.store.faults.busy = True
                 await anyio.sleep(0.3)
                 harness.configure(route(), route("/new/"))
@@ -109,7 +109,9 @@
                     harness.store.model.compact(topic)
                 harness.store.faults.busy = False
                 await anyio.sleep(1.0)
-                return (await harness.ask(path="/new/"))[0], harness.lines.of("history_expired")
+                return (await harness.send_request(path="/new/"))[0], harness.lines.of_event(
+                    "history_expired"
+                )
 
         status, lines = anyio.run(run)
 
@@ -171,10 +173,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
                 await anyio.sleep(0.2)
-                return (await harness.ask())[0]
+                return (await harness.send_request())[0]
 
         assert anyio.run(run) == 401
 
@@ -190,18 +192,18 @@
         async def run():
             async with open_harness(route(), bounds=FAST) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 setattr(harness.store.faults, fault, True)
                 begun_s = anyio.current_time()
                 harness.configure(route(), tenants=[{"name": "acme", "api-keys": ["other"]}])
-                first = (await harness.ask())[0]
+                first = (await harness.send_request())[0]
                 await anyio.sleep_until(begun_s + 3.0)
                 sends = len(one.requests)
-                cut_off = (await harness.ask(request_id="q2"))[0]
+                cut_off = (await harness.send_request(request_id="q2"))[0]
                 ready = await harness.is_ready()
                 setattr(harness.store.faults, fault, False)
-                await harness.until(harness.is_ready, 5.0)
-                back = (await harness.ask(request_id="q3"))[0]
+                await harness.wait_until(harness.is_ready, 5.0)
+                back = (await harness.send_request(request_id="q3"))[0]
                 return first, cut_off, ready, back, len(one.requests) - sends
 
         assert anyio.run(run) == (200, 503, False, 401, 0)
@@ -211,10 +213,10 @@
             free = route(**{"allow-anonymous": True})
             async with open_harness(free, bounds=FAST) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.store.faults.busy = True
                 await anyio.sleep(3.2)
-                data = harness.message().replace(b"X-Credential: key\r\n", b"")
+                data = harness.request_bytes().replace(b"X-Credential: key\r\n", b"")
                 return (await harness.send_to(harness.host.callers, data))[0]
 
         assert anyio.run(run) == 200
@@ -231,10 +233,10 @@
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1")
                 await harness.add_endpoint("e2")
-                await harness.known(2)
+                await harness.wait_for_endpoints(2)
                 harness.put("keyed.servers", "e1", one.record(state="draining"))
                 await anyio.sleep(1.0)
-                statuses = [(await harness.ask(request_id=f"q{n}"))[0] for n in range(8)]
+                statuses = [(await harness.send_request(request_id=f"q{n}"))[0] for n in range(8)]
                 return statuses, len(one.requests)
 
         assert anyio.run(run) == ([200] * 8, 0)
@@ -253,11 +255,11 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 harness.put("keyed.servers", "x1", value)
                 await harness.add_endpoint("e2")
-                await harness.known(2)
-                return (await harness.ask())[0], harness.lines.of("endpoint_refused")
+                await harness.wait_for_endpoints(2)
+                return (await harness.send_request())[0], harness.lines.of_event("endpoint_refused")
 
         status, lines = anyio.run(run)
 
@@ -270,7 +272,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 before = harness.store.calls["log-read"]
                 for _ in range(60):
                     harness.put("keyed.servers", "e1", one.record())
--- a/testing/test_gateway_callers.py
+++ b/testing/test_gateway_callers.py
@@ -12,7 +12,7 @@
     async def run():
         async with open_harness(route()) as harness:
             one = await harness.add_endpoint("e1")
-            await harness.known(1)
+            await harness.wait_for_endpoints(1)
             reader, writer = await harness.connect()
             writer.write(data)
             answers = [await read_answer(reader)]
@@ -116,7 +116,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
                 writer.write(PREFIX + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
                 interim = await reader.readuntil(b"\r\n\r\n")
@@ -137,12 +137,12 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
                 statuses = []
                 for pause_s in (0.0, 2.4):
                     await anyio.sleep(pause_s)
-                    writer.write(harness.message())
+                    writer.write(harness.request_bytes())
                     statuses.append((await read_answer(reader))[0])
                 with anyio.fail_after(6):
                     assert await reader.read() == b""
@@ -156,7 +156,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
                 writer.write(data)
                 answer = await read_answer(reader)
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -15,10 +15,12 @@
         async def run():
             async with open_harness(route("/a b/".replace(" ", "%20"))) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 path = "/a%20b/x%2Fy/../z?q=1&q=%ff"
                 forged = ("X-Tenant: rich", "x-hold: 1", "X-PIN-MS: 9", "X-Other: kept")
-                answer = await harness.ask(path=path, body=b"\x00\r\n0\r\n\r\n", headers=forged)
+                answer = await harness.send_request(
+                    path=path, body=b"\x00\r\n0\r\n\r\n", headers=forged
+                )
             return one, answer
 
         one, (status, head, body, _) = anyio.run(run)
@@ -43,8 +45,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
-                start = harness.message().replace(
+                await harness.wait_for_endpoints(1)
+                start = harness.request_bytes().replace(
                     b"Content-Length: 0", b"Transfer-Encoding: chunked"
                 )
                 data = start + b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n"
@@ -59,9 +61,9 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 listed = ("Connection: X-Request-Id, X-Drop", "X-Drop: 1")
-                await harness.ask(headers=listed)
+                await harness.send_request(headers=listed)
             return one
 
         sent = anyio.run(run).requests[0][0]
@@ -82,8 +84,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1")
-                await harness.known(1)
-                return (await harness.ask(**fields))[0], one.requests
+                await harness.wait_for_endpoints(1)
+                return (await harness.send_request(**fields))[0], one.requests
 
         assert anyio.run(run) == (expected, [])
 
@@ -103,8 +105,8 @@
             async with open_harness(route(**{"max-attempts": 3})) as harness:
                 one = await harness.add_endpoint("e1", script=drop_connection)
                 two = await harness.add_endpoint("e2", script=drop_connection)
-                await harness.known(2)
-                return (await harness.ask())[0], len(one.requests) + len(two.requests)
+                await harness.wait_for_endpoints(2)
+                return (await harness.send_request())[0], len(one.requests) + len(two.requests)
 
         assert anyio.run(run) == (502, 1)
 
@@ -115,8 +117,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=decline)
-                await harness.known(1)
-                return await harness.ask()
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request()
 
         status, head, _, _ = anyio.run(run)
 
@@ -138,9 +140,9 @@
             async with open_harness(free) as harness:
                 for name in ("e1", "e2"):
                     await harness.add_endpoint(name, script=fail_first)
-                await harness.known(2)
+                await harness.wait_for_endpoints(2)
                 harness.entry._state.share("plain")._slack = 5
-                return await harness.ask()
+                return await harness.send_request()
 
         assert anyio.run(run)[0] == 200
 
@@ -156,8 +158,8 @@
                 dead = await harness.add_endpoint("e1")
                 dead.server.close()
                 await harness.add_endpoint("e2")
-                await harness.known(2)
-                return [(await harness.ask())[0] for _ in range(6)]
+                await harness.wait_for_endpoints(2)
+                return [(await harness.send_request())[0] for _ in range(6)]
 
         assert anyio.run(run) == [200] * 6
 
@@ -187,8 +189,8 @@
             kind = "idempotent" if repeat else "non_idempotent"
             async with open_harness(route(kind=kind)) as harness:
                 await harness.add_endpoint("e1", script=send_invalid_answer)
-                await harness.known(1)
-                return await harness.ask()
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request()
 
         status, head, _, _ = anyio.run(run)
 
@@ -202,11 +204,11 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=answer_twice)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
                 bodies = []
                 for number in range(3):
-                    writer.write(harness.message(request_id=f"q{number}"))
+                    writer.write(harness.request_bytes(request_id=f"q{number}"))
                     bodies.append((await read_answer(reader))[2])
                 writer.close()
                 return bodies
@@ -221,8 +223,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=answer_without_length)
-                await harness.known(1)
-                return await harness.ask()
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request()
 
         status, _, body, whole = anyio.run(run)
 
@@ -239,8 +241,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=answer_without_length)
-                await harness.known(1)
-                return (await harness.ask())[0]
+                await harness.wait_for_endpoints(1)
+                return (await harness.send_request())[0]
 
         assert anyio.run(run) == 502
 
@@ -251,8 +253,8 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=fail)
-                await harness.known(1)
-                return await harness.ask()
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request()
 
         status, head, body, _ = anyio.run(run)
 
@@ -271,9 +273,9 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await harness.add_endpoint("e1", script=answer_early)
-                await harness.known(1)
-                first = await harness.ask(body=b"x" * 90_000)
-                second = await harness.ask(request_id="q2")
+                await harness.wait_for_endpoints(1)
+                first = await harness.send_request(body=b"x" * 90_000)
+                second = await harness.send_request(request_id="q2")
                 return first[0], second[0], len(one.requests)
 
         assert anyio.run(run) == (413, 413, 2)
@@ -287,9 +289,9 @@
         async def run():
             async with open_harness(route(**{"timeout-ms": 400})) as harness:
                 one = await harness.add_endpoint("e1", script=hang)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 started_s = anyio.current_time()
-                status = (await harness.ask())[0]
+                status = (await harness.send_request())[0]
                 took_s = anyio.current_time() - started_s
                 await anyio.sleep(0.1)
                 return status, took_s, len(one.ended)
@@ -312,12 +314,12 @@
         async def run():
             async with open_harness(route(kind="idempotent", **{"max-attempts": 2})) as harness:
                 one = await harness.add_endpoint("e1", script=hang)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 _, writer = await harness.connect()
-                writer.write(harness.message())
-                await harness.until(lambda: _true(one.requests))
+                writer.write(harness.request_bytes())
+                await harness.wait_until(lambda: _true(one.requests))
                 writer.close()
-                await harness.until(lambda: _true(one.ended), 0.5)
+                await harness.wait_until(lambda: _true(one.ended), 0.5)
                 await anyio.sleep(0.2)
                 return len(one.requests), harness.entry._state.registry.find("e1").in_flight
 
@@ -327,7 +329,7 @@
         async def run():
             async with open_harness(route()) as harness:
                 started_s = anyio.current_time()
-                status, head, _, _ = await harness.ask()
+                status, head, _, _ = await harness.send_request()
                 return status, anyio.current_time() - started_s, head
 
         status, took_s, head = anyio.run(run)
@@ -353,9 +355,9 @@
         async def run():
             async with open_harness(route("/s/", **STREAM)) as harness:
                 await harness.add_endpoint("e1", script=stream_slowly)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
-                writer.write(harness.message("/s/"))
+                writer.write(harness.request_bytes("/s/"))
                 await reader.readuntil(b"piece1")
                 first_s = anyio.current_time()
                 await reader.readuntil(b"0\r\n\r\n")
@@ -378,8 +380,8 @@
         async def run():
             async with open_harness(route("/s/", **STREAM)) as harness:
                 one = await harness.add_endpoint("e1", script=reset_mid_event)
-                await harness.known(1)
-                return await harness.ask(path="/s/"), len(one.requests)
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request(path="/s/"), len(one.requests)
 
         (status, _, body, whole), sends = anyio.run(run)
 
@@ -393,8 +395,8 @@
         async def run():
             async with open_harness(route("/s/", **STREAM)) as harness:
                 await harness.add_endpoint("e1", script=end_mid_event)
-                await harness.known(1)
-                return await harness.ask(path="/s/")
+                await harness.wait_for_endpoints(1)
+                return await harness.send_request(path="/s/")
 
         _, _, body, whole = anyio.run(run)
 
@@ -424,9 +426,9 @@
             async with open_harness(route("/s/", **fields)) as harness:
                 for name in ("e1", "e2"):
                     await harness.add_endpoint(name, script=reset_or_resume)
-                await harness.known(2)
+                await harness.wait_for_endpoints(2)
                 harness.entry._state.share("plain")._slack = 5
-                return await harness.ask(path="/s/")
+                return await harness.send_request(path="/s/")
 
         _, _, body, whole = anyio.run(run)
 
@@ -438,7 +440,7 @@
     async def evacuate(self, harness, *zones):
         for zone in zones:
             harness.put("keyed.op", f"evacuate/{zone}", b"{}")
-        await harness.until(harness.evacuated)
+        await harness.wait_until(harness.has_evacuated_zones)
 
     async def add(self, harness, name, zone):
         endpoint = await harness.add_endpoint(name)
@@ -449,9 +451,9 @@
         async def run():
             async with open_harness(route()) as harness:
                 one, two = await self.add(harness, "e1", "a"), await self.add(harness, "e2", "b")
-                await harness.known(2)
+                await harness.wait_for_endpoints(2)
                 await self.evacuate(harness, "a")
-                answers = [(await harness.ask(request_id=f"q{n}"))[0] for n in range(6)]
+                answers = [(await harness.send_request(request_id=f"q{n}"))[0] for n in range(6)]
                 return answers, len(one.requests), len(two.requests)
 
         assert anyio.run(run) == ([200] * 6, 0, 6)
@@ -460,10 +462,10 @@
         async def run():
             async with open_harness(route()) as harness:
                 one = await self.add(harness, "e1", "a")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 await self.evacuate(harness, "a")
                 with anyio.fail_after(0.2):
-                    answer = await harness.ask()
+                    answer = await harness.send_request()
                 return answer, one.requests
 
         (status, head, body, _), requests = anyio.run(run)
@@ -480,12 +482,12 @@
             async with open_harness(route()) as harness:
                 one = await self.add(harness, "e1", "a")
                 one.script = slow
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 async with anyio.create_task_group() as group:
                     answers = []
 
                     async def ask():
-                        answers.append((await harness.ask())[0])
+                        answers.append((await harness.send_request())[0])
 
                     group.start_soon(ask)
                     await anyio.sleep(0.1)
@@ -505,7 +507,7 @@
     async def ask_many(self, harness, count):
         harness.entry._state.cold.note_entries(["entry-1"])
         await anyio.sleep(1.1)
-        return [(await harness.ask(request_id=f"q{n}"))[0] for n in range(count)]
+        return [(await harness.send_request(request_id=f"q{n}"))[0] for n in range(count)]
 
     def test_requests_above_the_cold_rate_go_to_a_warm_endpoint(self):
         async def run():
@@ -513,7 +515,7 @@
                 harness.configure(route(), services=list(self.SERVICES))
                 cold, warm = await harness.add_endpoint("e1"), await harness.add_endpoint("e2")
                 await harness.start_entry()
-                await harness.known(2)
+                await harness.wait_for_endpoints(2)
                 harness.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
                 answers = await self.ask_many(harness, 16)
                 return answers, len(cold.requests), len(warm.requests)
@@ -531,9 +533,9 @@
                 cold = await harness.add_endpoint("e1")
                 harness.put("keyed.servers", "e1", cold.record(**{"cold-remaining-ms": 60_000}))
                 await harness.start_entry()
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 answers = await self.ask_many(harness, 5)
-                return answers, len(cold.requests), harness.lines.of("refused")
+                return answers, len(cold.requests), harness.lines.of_event("refused")
 
         answers, sent, refused = anyio.run(run)
 
--- a/testing/test_gateway_operators.py
+++ b/testing/test_gateway_operators.py
@@ -31,8 +31,8 @@
     def test_status_and_events_need_a_key(self):
         async def run():
             async with open_harness(route(), operator_keys=DIGEST) as harness:
-                await harness.ask(request_id="mine")
-                await harness.ask(path="/nowhere/", request_id="other")
+                await harness.send_request(request_id="mine")
+                await harness.send_request(path="/nowhere/", request_id="other")
                 events = "/beryl/v1/events?request_id=mine"
                 return (
                     await self.send_get(harness, "/beryl/v1/status", KEY),
@@ -56,7 +56,7 @@
         async def run():
             async with open_harness(route(), operator_keys=DIGEST) as harness:
                 harness.put("keyed.op", "evacuate/north", b"{}")
-                await harness.until(harness.evacuated)
+                await harness.wait_until(harness.has_evacuated_zones)
                 return (
                     await self.send_get(harness, "/beryl/v1/status", KEY),
                     await self.send_get(harness, "/metrics", KEY),
@@ -83,7 +83,7 @@
 
         async def run():
             async with open_harness(route(), operator_keys=DIGEST) as harness:
-                await harness.ask(request_id="mine")
+                await harness.send_request(request_id="mine")
                 at = ":".join(map(str, harness.host.metrics))
                 config.write_text(FILE)
                 return [
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -42,10 +42,10 @@
                 with anyio.move_on_after(1.0) as early:
                     await harness.start_entry()
                 harness.store.faults.busy = False
-                await harness.until(harness.is_ready, 3.0)
+                await harness.wait_until(harness.is_ready, 3.0)
                 await harness.add_endpoint("e1")
-                await harness.known(1)
-                return early.cancelled_caught, (await harness.ask())[0]
+                await harness.wait_for_endpoints(1)
+                return early.cancelled_caught, (await harness.send_request())[0]
 
         assert anyio.run(run) == (True, 200)
 
@@ -62,15 +62,15 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=slow)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
-                writer.write(harness.message())
+                writer.write(harness.request_bytes())
                 await anyio.sleep(0.1)
                 harness.entry.stop()
                 await anyio.sleep(0.05)
                 ready = (await harness.send_to(harness.host.probes, READY))[0]
                 under_way = await read_answer(reader)
-                late = await harness.ask(request_id="q2")
+                late = await harness.send_request(request_id="q2")
                 return ready, under_way, late
 
         ready, under_way, late = anyio.run(run)
@@ -91,12 +91,12 @@
         async def run():
             async with open_harness(route("/s/", **STREAM)) as harness:
                 await harness.add_endpoint("e1", script=trickle)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 async with anyio.create_task_group() as group:
                     answers = []
 
                     async def ask():
-                        data = harness.message("/s/").replace(b": 2000", b": 9000")
+                        data = harness.request_bytes("/s/").replace(b": 2000", b": 9000")
                         answers.append(await harness.send_to(harness.host.callers, data))
 
                     group.start_soon(ask)
@@ -113,14 +113,14 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
-                writer.write(harness.message())
+                writer.write(harness.request_bytes())
                 await read_answer(reader)
                 harness.entry.stop()
                 with anyio.fail_after(4.0):
                     assert await reader.read() == b""
-                await harness.until(lambda: _stopped(harness), 4.0)
+                await harness.wait_until(lambda: _stopped(harness), 4.0)
                 return True
 
         assert anyio.run(run)
@@ -135,17 +135,17 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1", script=slow)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 reader, writer = await harness.connect()
-                writer.write(harness.message())
+                writer.write(harness.request_bytes())
                 await anyio.sleep(0.1)
                 harness.entry.stop()
                 harness.configure(route("/new/"))
                 harness.entry.stop()
                 await anyio.sleep(0.2)
                 harness.entry.stop()
-                late = (await harness.ask(path="/new/", request_id="q2"))[0]
-                gone = (await harness.ask(request_id="q3"))[0]
+                late = (await harness.send_request(path="/new/", request_id="q2"))[0]
+                gone = (await harness.send_request(request_id="q3"))[0]
                 return (await read_answer(reader))[0], late, gone
 
         assert anyio.run(run) == (200, 200, 404)
@@ -164,14 +164,14 @@
             bounds = HostBounds(grace_s=3.4)
             async with open_harness(route(**{"timeout-ms": 20_000}), bounds=bounds) as harness:
                 await harness.add_endpoint("e1", script=hang)
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 _, writer = await harness.connect()
-                writer.write(harness.message(headers=()).replace(b": 2000", b": 20000"))
+                writer.write(harness.request_bytes(headers=()).replace(b": 2000", b": 20000"))
                 await anyio.sleep(0.1)
                 started_s = anyio.current_time()
                 harness.entry.stop()
-                await harness.until(lambda: _stopped(harness), 6.0)
-                return anyio.current_time() - started_s, harness.lines.of("cut")
+                await harness.wait_until(lambda: _stopped(harness), 6.0)
+                return anyio.current_time() - started_s, harness.lines.of_event("cut")
 
         took_s, cut = anyio.run(run)
 
@@ -180,7 +180,7 @@
 
 
 async def _stopped(harness):
-    return bool(harness.lines.of("stopped"))
+    return bool(harness.lines.of_event("stopped"))
 
 
 class TestReload:
@@ -200,7 +200,7 @@
                 path.write_text(FILE.replace("2500", '"soon"'))
                 harness.entry.reload()
                 kept_s = harness.entry._state.lease.revocation_s
-                return good_s, kept_s, harness.lines.of("reload_refused")
+                return good_s, kept_s, harness.lines.of_event("reload_refused")
 
         good_s, kept_s, refused = anyio.run(run)
 
@@ -229,11 +229,11 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 started_s = anyio.current_time()
                 await harness.start_entry()
-                await harness.known(1)
-                status = (await harness.ask())[0]
+                await harness.wait_for_endpoints(1)
+                status = (await harness.send_request())[0]
                 return status, anyio.current_time() - started_s
 
         status, took_s = anyio.run(run)
@@ -255,7 +255,7 @@
                 await harness.add_endpoint("e1")
                 early = open_listener(("127.0.0.1", 0))
                 reader, writer = await asyncio.open_connection(*early.getsockname())
-                writer.write(harness.message())
+                writer.write(harness.request_bytes())
                 await harness.start_entry(early)
                 return (await read_answer(reader))[0]
 
@@ -272,7 +272,7 @@
                 harness.store.faults.silent = True
                 early = open_listener(("127.0.0.1", 0))
                 reader, writer = await asyncio.open_connection(*early.getsockname())
-                writer.write(harness.message())
+                writer.write(harness.request_bytes())
                 with anyio.move_on_after(0.8):
                     await harness.start_entry(early)
                 status, head, _, _ = await read_answer(reader)
--- a/testing/test_gateway_sockets.py
+++ b/testing/test_gateway_sockets.py
@@ -26,9 +26,9 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 seen.clear()
-                return (await harness.ask())[0]
+                return (await harness.send_request())[0]
 
         assert anyio.run(run) == 200
         assert sorted(seen) == [(1_500, True), (8_000, True)]
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -139,9 +139,9 @@
         async def run():
             async with open_harness(route()) as harness:
                 await harness.add_endpoint("e1")
-                await harness.known(1)
-                await harness.ask()
-                (line,) = harness.lines.of("sent")
+                await harness.wait_for_endpoints(1)
+                await harness.send_request()
+                (line,) = harness.lines.of_event("sent")
             return dict(part.partition("=")[::2] for part in line.split())
 
         sent = anyio.run(run)
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -24,7 +24,7 @@
                     except OSError:
                         return False
 
-                await EntryHarness.until(is_ready)
+                await EntryHarness.wait_until(is_ready)
                 stream = await EntryHarness.send_to(local.host.callers, HEAD % b"/chat/1")
                 call = await EntryHarness.send_to(local.host.callers, HEAD % b"/notes/1")
                 runs = sum(len(endpoint.runs) for endpoint in local.endpoints.values())
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -75,11 +75,11 @@
             async with open_harness(route()) as harness:
                 quarantine = harness.entry._state.quarantine
                 await harness.add_endpoint("e1")
-                await harness.known(1)
+                await harness.wait_for_endpoints(1)
                 for number in range(3):
                     quarantine.note_crash(digest, known(f"x{number}"))
-                bad = await harness.ask(body=b"bad")
-                good = await harness.ask(body=b"good")
+                bad = await harness.send_request(body=b"bad")
+                good = await harness.send_request(body=b"good")
                 return bad, good, harness.endpoints["e1"].requests, harness.lines
 
         bad, good, requests, lines = anyio.run(run)
@@ -88,7 +88,7 @@
         assert "retry-after: 3" in bad[1]
         assert good[0] == 200
         assert [body for _, body in requests] == [b"good"]
-        assert len(lines.of("request_quarantined")) == 1
+        assert len(lines.of_event("request_quarantined")) == 1
 
 
 class TestOtherRequests:
@@ -123,9 +123,9 @@
             async with open_harness(route()) as harness:
                 harnesses.append(harness)
                 await harness.add_endpoint("e1", script=leave_and_end)
-                await harness.known(1)
-                await harness.ask()
-                return harness.lines.of("endpoint_ended")
+                await harness.wait_for_endpoints(1)
+                await harness.send_request()
+                return harness.lines.of_event("endpoint_ended")
 
         assert anyio.run(run) == []
 
