--- a/src/beryljunction/fuzz/platform/stores.py
+++ b/src/beryljunction/fuzz/platform/stores.py
@@ -7,13 +7,13 @@
 from beryljunction.fuzz.platform.virtual import VirtualLoop
 from beryljunction.platform import (
     Expired,
-    Newest,
+    NewestRecords,
     Record,
     Records,
     Store,
     Topic,
     Unavailable,
-    Written,
+    WriteOutcome,
 )
 from beryljunction.platform.positions import era_of, offset_of, position_of
 from beryljunction.standins.platform_store import Gone, PlatformStoreModel
@@ -62,22 +62,22 @@
                 return Unavailable("cut while waiting")
             await asyncio.sleep(0.02)
 
-    async def newest(self, topic: Topic) -> Newest | Unavailable:
+    async def read_newest(self, topic: Topic) -> NewestRecords | Unavailable:
         """Return the newest record of each key."""
         fault = await self._begin(0.0)
         if fault is not None:
             return fault
         rows, _, end = self._model.newest(topic.name, "", self._loop.world_s)
         records = tuple(Record(key, value) for key, _, value in rows)
-        return await self._finish(Newest(records, position_of(self._model.era, end)))
+        return await self._finish(NewestRecords(records, position_of(self._model.era, end)))
 
-    async def put(self, topic: Topic, key: str, value: bytes | None) -> Written:
+    async def put(self, topic: Topic, key: str, value: bytes | None) -> WriteOutcome:
         """Write the record of a key."""
         fault = await self._begin(0.0)
         if fault is not None:
-            return Written.NOT_DONE if fault.reason == "busy" else Written.UNKNOWN
+            return WriteOutcome.NOT_DONE if fault.reason == "busy" else WriteOutcome.UNKNOWN
         self._model.put(topic.name, key, value, self._loop.world_s)
-        return Written.DONE
+        return WriteOutcome.DONE
 
     async def _begin(self, wait_s: float) -> Unavailable | None:
         await asyncio.sleep(_STORE_S)
--- a/src/beryljunction/gateway/crashreporter.py
+++ b/src/beryljunction/gateway/crashreporter.py
@@ -7,7 +7,7 @@
 from beryljunction.gateway.peers import PeerLink
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.state import EntryState
-from beryljunction.platform import ENTRY_ADDRESSES, Record, Store, Written
+from beryljunction.platform import ENTRY_ADDRESSES, Record, Store, WriteOutcome
 
 __all__ = ["CrashReporter"]
 
@@ -75,7 +75,7 @@
     async def _save(self, record: Record) -> None:
         for _ in range(_MAX_SAVE_ATTEMPTS):
             written = await self._store.put(ENTRY_ADDRESSES, record.key, record.value)
-            if written is Written.DONE:
+            if written is WriteOutcome.DONE:
                 return
             await anyio.sleep(_SAVE_RETRY_PAUSE_S)
         self._state.events.write("quarantine_not_saved", key=record.key)
--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -12,9 +12,9 @@
 from beryljunction.platform import (
     FLEET_CONFIG,
     FLEET_CONFIG_KEY,
+    InvalidRecord,
     Record,
     Store,
-    Unusable,
     decode_config,
     decode_evacuation,
 )
@@ -181,7 +181,7 @@
         zones: dict[str, bool] = {}
         for record in records:
             zone = decode_evacuation(record.key)
-            if isinstance(zone, Unusable):
+            if isinstance(zone, InvalidRecord):
                 self._state.events.write("evacuation_refused", problem=zone.problem)
             elif zone is not None:
                 zones[zone] = record.value is not None
@@ -190,7 +190,7 @@
     def _apply_version(self, value: bytes) -> bool:
         """Apply a version of the settings; return False if it can't be decoded."""
         config = decode_config(value)
-        if isinstance(config, Unusable):
+        if isinstance(config, InvalidRecord):
             self._state.events.write("settings_refused", problem=config.problem)
             return False
         if self._state.apply(config, value):
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.topics import TopicReader, paced, rest_until_back
 from beryljunction.gateway.updates import TopicUpdate
-from beryljunction.platform import ENDPOINT_RECORDS, Record, Store, Unusable, decode_endpoint
+from beryljunction.platform import ENDPOINT_RECORDS, InvalidRecord, Record, Store, decode_endpoint
 from beryljunction.routing import Confirmation
 
 __all__ = ["EndpointWatcher"]
@@ -122,9 +122,9 @@
         self._values = {row.key: row.value for row in records if row.value is not None}
         decoded = [decode_endpoint(key, value) for key, value in self._values.items()]
         for problem in decoded:
-            if isinstance(problem, Unusable):
+            if isinstance(problem, InvalidRecord):
                 self._state.events.write("endpoint_refused", problem=problem.problem)
-        usable = [row for row in decoded if not isinstance(row, Unusable)]
+        usable = [row for row in decoded if not isinstance(row, InvalidRecord)]
         self._state.registry.replace(usable, boot_time_s())
         self._state.events.write("endpoints_listed", endpoints=len(self._state.registry))
 
@@ -140,7 +140,7 @@
                 events.write("endpoint_gone", endpoint=record.key)
             return
         decoded = decode_endpoint(record.key, record.value)
-        if isinstance(decoded, Unusable):
+        if isinstance(decoded, InvalidRecord):
             events.write("endpoint_refused", problem=decoded.problem)
             registry.remove(record.key, now_s)
             return
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -15,7 +15,7 @@
     ENTRY_ADDRESSES,
     Record,
     Store,
-    Written,
+    WriteOutcome,
     era_of,
     format_address,
     parse_address,
@@ -78,7 +78,7 @@
 
     async def _write(self, record: Record) -> None:
         pause_s = _WRITE_RETRY_PAUSE_S
-        while await self._store.put(ENTRY_ADDRESSES, record.key, record.value) != Written.DONE:
+        while await self._store.put(ENTRY_ADDRESSES, record.key, record.value) != WriteOutcome.DONE:
             await anyio.sleep(pause_s)
             pause_s = min(_MAX_WRITE_RETRY_PAUSE_S, 2 * pause_s)
 
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -11,7 +11,7 @@
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import (
     Expired,
-    Newest,
+    NewestRecords,
     Record,
     Records,
     Store,
@@ -71,7 +71,9 @@
         asked = self._offset
         asked_s = boot_time_s()
         if asked is None:
-            answer: Newest | Records | Expired | Unavailable = await self._store.newest(self._topic)
+            answer: NewestRecords | Records | Expired | Unavailable = await self._store.read_newest(
+                self._topic
+            )
         else:
             answer = await self._read(asked, wait_ms, answer_timeout_s)
         if isinstance(answer, Unavailable):
@@ -86,10 +88,10 @@
         self._log_store_regained()
         now_s = boot_time_s()
         self.state.contact.note_answer(asked_s, now_s)
-        if isinstance(answer, Newest):
-            self._apply_snapshot(answer.records, answer.next_offset, take_all)
+        if isinstance(answer, NewestRecords):
+            self._apply_snapshot(answer.records, answer.next_position, take_all)
         elif isinstance(answer, Records):
-            self._append(answer.records, answer.next_offset, take)
+            self._append(answer.records, answer.next_position, take)
         self.known.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
         self.state.news.set()
         return True
@@ -204,7 +206,9 @@
         self._is_store_lost = False
 
 
-def _complete_at_s(answer: Newest | Records, asked_s: float, now_s: float, wait_s: float) -> float:
+def _complete_at_s(
+    answer: NewestRecords | Records, asked_s: float, now_s: float, wait_s: float
+) -> float:
     """Return the time up to which the records are complete after an answer.
 
     The store holds a read that returns nothing for the whole wait.
--- a/src/beryljunction/platform/__init__.py
+++ b/src/beryljunction/platform/__init__.py
@@ -10,7 +10,7 @@
 )
 from beryljunction.platform.positions import era_of
 from beryljunction.platform.records import (
-    Unusable,
+    InvalidRecord,
     decode_config,
     decode_endpoint,
     decode_evacuation,
@@ -22,13 +22,13 @@
     FLEET_CONFIG_KEY,
     Expired,
     HttpStore,
-    Newest,
+    NewestRecords,
     Record,
     Records,
     Store,
     Topic,
     Unavailable,
-    Written,
+    WriteOutcome,
 )
 
 __all__ = [
@@ -40,15 +40,15 @@
     "HostBounds",
     "HostSettings",
     "HttpStore",
-    "Newest",
+    "NewestRecords",
     "Record",
     "Records",
     "SETTINGS_VARIABLE",
     "Store",
     "Topic",
     "Unavailable",
-    "Unusable",
-    "Written",
+    "InvalidRecord",
+    "WriteOutcome",
     "decode_config",
     "decode_endpoint",
     "decode_evacuation",
--- a/src/beryljunction/platform/positions.py
+++ b/src/beryljunction/platform/positions.py
@@ -4,11 +4,11 @@
 the offset in one integer, so that every position of a later era is greater than all earlier ones.
 """
 
-__all__ = ["MOST_ERA", "era_of", "offset_of", "position_of"]
+__all__ = ["ERA_LIMIT", "era_of", "offset_of", "position_of"]
 
 _OFFSET_BITS = 48
 _MAX_OFFSET = (1 << _OFFSET_BITS) - 1
-MOST_ERA = 1 << 16
+ERA_LIMIT = 1 << 16
 
 
 def position_of(era: int, offset: int) -> int:
--- a/src/beryljunction/platform/records.py
+++ b/src/beryljunction/platform/records.py
@@ -19,7 +19,7 @@
     WeightedService,
 )
 
-__all__ = ["Unusable", "decode_config", "decode_endpoint", "decode_evacuation"]
+__all__ = ["InvalidRecord", "decode_config", "decode_endpoint", "decode_evacuation"]
 
 _REPEAT_BY_KIND = {"idempotent": RepeatPolicy.FREELY, "non_idempotent": RepeatPolicy.NEVER}
 _STREAM_KIND = "streaming"
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Unusable:
+class InvalidRecord:
     """A record that can't be used; the problem has the location, expected and actual value."""
 
     problem: str
@@ -39,7 +39,7 @@
     """A field is missing or has an invalid value."""
 
 
-def decode_endpoint(endpoint_id: str, value: bytes) -> EndpointRecord | Unusable:
+def decode_endpoint(endpoint_id: str, value: bytes) -> EndpointRecord | InvalidRecord:
     """Decode the record that an endpoint writes about itself.
 
     A record without a required field may come from another writer, so it yields no endpoint.
@@ -64,7 +64,7 @@
             sequence=_integer(fields, "sequence-number", 0, default=0),
         )
     except _FieldError as error:
-        return Unusable(f"{endpoint_id}: {error}")
+        return InvalidRecord(f"{endpoint_id}: {error}")
 
 
 def _cold_ms(fields: Mapping[str, Any]) -> int | None:
@@ -75,7 +75,7 @@
     return int(value) if 0 <= value <= _MAX_COLD_MS else None
 
 
-def decode_evacuation(key: str) -> str | Unusable | None:
+def decode_evacuation(key: str) -> str | InvalidRecord | None:
     """Return the availability zone that an operator's key evacuates; None for other keys.
 
     The value of the record is ignored: the zone stays evacuated as long as the key exists.
@@ -84,11 +84,11 @@
         return None
     zone = key.removeprefix(_EVACUATION_PREFIX)
     if not zone or "\ufffd" in zone:
-        return Unusable(f"{key!r}: expected {_EVACUATION_PREFIX}ZONE, got no valid zone name")
+        return InvalidRecord(f"{key!r}: expected {_EVACUATION_PREFIX}ZONE, got no valid zone name")
     return zone
 
 
-def decode_config(value: bytes) -> FleetConfig | Unusable:
+def decode_config(value: bytes) -> FleetConfig | InvalidRecord:
     """Decode the settings of the whole fleet."""
     try:
         fields = _table(_parse_json(value), "configuration")
@@ -102,7 +102,7 @@
             accounts=_accounts(fields),
         )
     except _FieldError as error:
-        return Unusable(str(error))
+        return InvalidRecord(str(error))
 
 
 def _started_ms(fields: Mapping[str, Any]) -> int:
--- a/src/beryljunction/platform/store.py
+++ b/src/beryljunction/platform/store.py
@@ -13,10 +13,10 @@
 import attrs
 import httpcore
 
-from beryljunction.platform.positions import MOST_ERA, era_of, offset_of
+from beryljunction.platform.positions import ERA_LIMIT, era_of, offset_of
 from beryljunction.platform.storeformat import (
     Expired,
-    Newest,
+    NewestRecords,
     Page,
     Record,
     Records,
@@ -33,13 +33,13 @@
     "FLEET_CONFIG",
     "FLEET_CONFIG_KEY",
     "HttpStore",
-    "Newest",
+    "NewestRecords",
     "Record",
     "Records",
     "Store",
     "Topic",
     "Unavailable",
-    "Written",
+    "WriteOutcome",
 ]
 
 _READ_PATH = "/beryljunction/log-read"
@@ -72,7 +72,7 @@
 ENTRY_ADDRESSES = Topic("keyed.entries")
 
 
-class Written(enum.Enum):
+class WriteOutcome(enum.Enum):
     """Outcome of a write.
 
     Attributes:
@@ -100,11 +100,11 @@
         return False
 
     @abc.abstractmethod
-    async def newest(self, topic: Topic) -> Newest | Unavailable:
+    async def read_newest(self, topic: Topic) -> NewestRecords | Unavailable:
         """Return the newest record of each key."""
 
     @abc.abstractmethod
-    async def put(self, topic: Topic, key: str, value: bytes | None) -> Written:
+    async def put(self, topic: Topic, key: str, value: bytes | None) -> WriteOutcome:
         """Write the record of a key; None removes the key. The call is idempotent."""
 
 
@@ -177,10 +177,10 @@
         except (ValueError, struct.error) as error:
             return Unavailable(f"expected records, got {error}")
 
-    async def newest(self, topic: Topic) -> Newest | Unavailable:
+    async def read_newest(self, topic: Topic) -> NewestRecords | Unavailable:
         """Return the newest record of each key.
 
-        The pages are not an atomic snapshot, so `next_offset` is the end of the topic at the first
+        The pages are not an atomic snapshot, so `next_position` is the end of the topic at the first
         page: records written while paging are read again from there.
         """
         records: list[Record] = []
@@ -199,18 +199,18 @@
                 )
             records += page.records
             if not page.has_more or not page.records:
-                return Newest(tuple(records), first_end)
+                return NewestRecords(tuple(records), first_end)
             after = page.records[-1].key
 
-    async def put(self, topic: Topic, key: str, value: bytes | None) -> Written:
+    async def put(self, topic: Topic, key: str, value: bytes | None) -> WriteOutcome:
         """Write the record of a key; None removes the key. The call is idempotent."""
         name = key.encode()
         content = bytes([len(name)]) + name + (value or b"")
         path = f"{_APPEND_PATH}?topic={topic.name}&part=0"
         answer = await self._call("POST", path, 0.0, encode_record(content))
         if isinstance(answer, Unavailable):
-            return Written.UNKNOWN
-        return Written.DONE if answer.status == 200 else Written.NOT_DONE
+            return WriteOutcome.UNKNOWN
+        return WriteOutcome.DONE if answer.status == 200 else WriteOutcome.NOT_DONE
 
     async def _fetch_page(self, path: str) -> Page | Unavailable:
         answer = await self._call("GET", path, 0.0)
@@ -260,9 +260,9 @@
         text = next((value for name, value in headers if name.lower() == _ERA_HEADER), None)
         if text is None:
             return known
-        era = int(text) if text.isdigit() and len(text) < _ERA_LENGTH_LIMIT else MOST_ERA
-        if era >= MOST_ERA:
-            self._on_problem(f"expected an era below {MOST_ERA}, got {text[:80]!r}")
+        era = int(text) if text.isdigit() and len(text) < _ERA_LENGTH_LIMIT else ERA_LIMIT
+        if era >= ERA_LIMIT:
+            self._on_problem(f"expected an era below {ERA_LIMIT}, got {text[:80]!r}")
             return known
         if self._era is None or era > self._era:
             self._era = era
--- a/src/beryljunction/platform/storeformat.py
+++ b/src/beryljunction/platform/storeformat.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "Expired",
-    "Newest",
+    "NewestRecords",
     "Page",
     "Record",
     "Records",
@@ -37,23 +37,23 @@
     """Records from the requested position on.
 
     Attributes:
-        next_offset: Position for the next read.
+        next_position: Position for the next read.
     """
 
     records: tuple[Record, ...]
-    next_offset: int
+    next_position: int
 
 
 @attrs.frozen
-class Newest:
+class NewestRecords:
     """The newest record of each key.
 
     Attributes:
-        next_offset: Position of the next read, which returns records written while paging.
+        next_position: Position of the next read, which returns records written while paging.
     """
 
     records: tuple[Record, ...]
-    next_offset: int
+    next_position: int
 
 
 @attrs.frozen
--- a/testing/test_cold.py
+++ b/testing/test_cold.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from beryljunction.platform import Unusable, decode_endpoint
+from beryljunction.platform import InvalidRecord, decode_endpoint
 from beryljunction.routing import ColdStartLimit, ColdStartLimiter, EndpointRegistry, Service
 from beryljunction.routing.cold import entry_share
 from routing_fakes import endpoint
@@ -103,7 +103,7 @@
             '"cold-remaining-ms":"soon"}'
         )
 
-        assert isinstance(decode_endpoint("a", text.encode()), Unusable)
+        assert isinstance(decode_endpoint("a", text.encode()), InvalidRecord)
 
 
 class TestAllows:
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -16,7 +16,7 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import ZoneUpdate
 from beryljunction.listening import open_listener
-from beryljunction.platform import HostBounds, HostSettings, Record, Unavailable, Written
+from beryljunction.platform import HostBounds, HostSettings, Record, Unavailable, WriteOutcome
 from beryljunction.platform.store import Store
 from beryljunction.routing import PeerTable, should_ask_peers
 from beryljunction.servers import Server, bind
@@ -118,11 +118,11 @@
     async def read(self, topic, offset, wait_ms):
         return Unavailable("cut")
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         return Unavailable("cut")
 
     async def put(self, topic, key, value):
-        return Written.NOT_DONE
+        return WriteOutcome.NOT_DONE
 
 
 class Entry(PeerLink):
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.platform import Unusable, decode_evacuation
+from beryljunction.platform import InvalidRecord, decode_evacuation
 from beryljunction.routing import EndpointRegistry, Evacuations, ZoneChange
 from fanout_world import FleetWorld, StoreFault
 from routing_fakes import endpoint
@@ -57,7 +57,7 @@
 
     @pytest.mark.parametrize("key", ["evacuate/", "evacuate/\ufffd\ufffd"])
     def test_key_without_a_name_is_refused(self, key):
-        assert isinstance(decode_evacuation(key), Unusable)
+        assert isinstance(decode_evacuation(key), InvalidRecord)
 
 
 class TestRegistry:
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -10,12 +10,12 @@
 from beryljunction.platform import (
     HostBounds,
     HostSettings,
-    Newest,
+    NewestRecords,
     Record,
     Records,
     Store,
     Unavailable,
-    Written,
+    WriteOutcome,
 )
 from platform_world import CapturedLog, open_harness, route
 
@@ -150,7 +150,7 @@
     def __init__(self):
         self.open = self.most = self.begun = 0
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         self.open += 1
         self.begun += 1
         self.most = max(self.most, self.open)
@@ -159,13 +159,13 @@
         if self.begun == 1:
             return Unavailable("cut")
         config = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []})
-        return Newest((Record("config", config.encode()),), 1)
+        return NewestRecords((Record("config", config.encode()),), 1)
 
     async def read(self, topic, offset, wait_ms):
         await anyio.sleep_forever()
 
     async def put(self, topic, key, value):
-        return Written.NOT_DONE
+        return WriteOutcome.NOT_DONE
 
 
 class TestKeys:
@@ -312,9 +312,9 @@
     def is_receiving(self, topic):
         return self.receiving
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         config = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []})
-        return Newest((Record("config", config.encode()),), 1)
+        return NewestRecords((Record("config", config.encode()),), 1)
 
     async def read(self, topic, offset, wait_ms):
         if wait_ms:
@@ -323,7 +323,7 @@
         return Unavailable("busy") if self.is_away else Records((), offset)
 
     async def put(self, topic, key, value):
-        return Written.NOT_DONE
+        return WriteOutcome.NOT_DONE
 
 
 def follow_config(store):
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from beryljunction.platform import ENDPOINT_RECORDS, Expired, HttpStore, Newest, Records
+from beryljunction.platform import ENDPOINT_RECORDS, Expired, HttpStore, NewestRecords, Records
 from beryljunction.platform.store import Unavailable
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreModel, PlatformStoreStandIn
@@ -39,7 +39,7 @@
 
         assert isinstance(answer, Records)
         assert [(row.key, row.value) for row in answer.records] == [("a", b"1"), ("a", None)]
-        assert answer.next_offset == 2
+        assert answer.next_position == 2
 
     def test_position_past_the_end_is_expired(self):
         """A wrong position from another entry must not make an entry wait there forever."""
@@ -72,13 +72,13 @@
             for number in range(1_203):
                 stand_in.model.put(TOPIC, f"e{number:04}", b"1", time.monotonic())
             stand_in.model.put(TOPIC, "e0007", None, time.monotonic())
-            return await store.newest(ENDPOINT_RECORDS), stand_in.calls["log-newest"]
+            return await store.read_newest(ENDPOINT_RECORDS), stand_in.calls["log-newest"]
 
         answer, calls = run_scenario(scenario)
 
-        assert isinstance(answer, Newest)
+        assert isinstance(answer, NewestRecords)
         assert len(answer.records) == 1_202
-        assert answer.next_offset == 1_204
+        assert answer.next_position == 1_204
         assert calls == 3
 
     def test_read_of_compacted_records_returns_expired(self):
--- a/testing/test_records.py
+++ b/testing/test_records.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryljunction.platform import Unusable, decode_config, decode_endpoint
+from beryljunction.platform import InvalidRecord, decode_config, decode_endpoint
 from beryljunction.routing import RepeatPolicy
 
 ROUTE = {
@@ -46,7 +46,7 @@
     def test_invalid_rate_is_rejected(self, value):
         rejected = config(services=[{"name": "x", "cold-per-s": value}])
 
-        assert isinstance(rejected, Unusable)
+        assert isinstance(rejected, InvalidRecord)
         assert "cold-per-s" in rejected.problem
 
     def test_traffic_split_follows_the_weights(self):
@@ -82,11 +82,11 @@
     def test_problem_has_its_location(self, fields, message):
         decoded = config(**fields)
 
-        assert isinstance(decoded, Unusable)
+        assert isinstance(decoded, InvalidRecord)
         assert message in decoded.problem
 
     def test_deeply_nested_json_is_a_problem_and_not_a_crash(self):
-        assert isinstance(decode_config(b"[" * 100_000), Unusable)
+        assert isinstance(decode_config(b"[" * 100_000), InvalidRecord)
 
 
 class TestEndpoint:
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -8,7 +8,14 @@
 
 from beryljunction.fuzz.platform import stores
 from beryljunction.gateway.registration import Registration
-from beryljunction.platform import FLEET_CONFIG, Expired, HttpStore, Newest, Records, Unavailable
+from beryljunction.platform import (
+    FLEET_CONFIG,
+    Expired,
+    HttpStore,
+    NewestRecords,
+    Records,
+    Unavailable,
+)
 from beryljunction.platform.positions import era_of, offset_of, position_of
 from beryljunction.routing import EndpointRegistry, StoreReachability
 from beryljunction.servers import Server, bind
@@ -111,28 +118,28 @@
             before = stand_in.model.copy()
             for number in range(3):
                 self.put(stand_in, f"lost{number}")
-            end = (await store.newest(FLEET_CONFIG)).next_offset
+            end = (await store.read_newest(FLEET_CONFIG)).next_position
             stand_in.model.restore(before)
             for number in range(5):
                 self.put(stand_in, f"new{number}")
             read = await store.read(FLEET_CONFIG, end, 0)
-            again = await store.newest(FLEET_CONFIG)
-            on = await store.read(FLEET_CONFIG, again.next_offset, 0)
+            again = await store.read_newest(FLEET_CONFIG)
+            on = await store.read(FLEET_CONFIG, again.next_position, 0)
             return end, read, again, on
 
         (end, read, again, on), problems = self.play(play)
 
         assert end == 6
         assert read == Expired()
-        assert (era_of(again.next_offset), offset_of(again.next_offset)) == (1, 8)
-        assert on == Records((), again.next_offset)
+        assert (era_of(again.next_position), offset_of(again.next_position)) == (1, 8)
+        assert on == Records((), again.next_position)
         assert problems == []
 
     def test_read_from_an_offset_beyond_the_end_expires(self):
         async def play(stand_in, store):
             before = stand_in.model.copy()
             self.put(stand_in, "lost")
-            end = (await store.newest(FLEET_CONFIG)).next_offset
+            end = (await store.read_newest(FLEET_CONFIG)).next_position
             stand_in.model.restore(before)
             return await store.read(FLEET_CONFIG, end, 0)
 
@@ -143,7 +150,7 @@
         """Guards against a long poll that waits until its offset is assigned again."""
 
         async def play(stand_in, store):
-            end = (await store.newest(FLEET_CONFIG)).next_offset
+            end = (await store.read_newest(FLEET_CONFIG)).next_position
             found = []
 
             async def wait():
@@ -156,14 +163,14 @@
                     stand_in.model.restore(stand_in.model.copy())
                     # A busy store ends the long poll itself; otherwise only the client can.
                     stand_in.faults.busy = is_busy
-                    await store.newest(FLEET_CONFIG)
+                    await store.read_newest(FLEET_CONFIG)
             return found
 
         assert self.play(play)[0] == [Expired()]
 
     def test_late_answer_of_an_earlier_era_is_dropped(self):
         async def play(stand_in, store):
-            await store.newest(FLEET_CONFIG)
+            await store.read_newest(FLEET_CONFIG)
             respond = stand_in._respond
             found = []
 
@@ -174,19 +181,19 @@
                 await respond(send, status, answer)
 
             async def ask():
-                found.append(await store.newest(FLEET_CONFIG))
+                found.append(await store.read_newest(FLEET_CONFIG))
 
             stand_in._respond = respond_late
             async with anyio.create_task_group() as group:
                 group.start_soon(ask)
                 await anyio.sleep(0.1)
                 stand_in.model.era = 1
-                found.append(await store.newest(FLEET_CONFIG))
+                found.append(await store.read_newest(FLEET_CONFIG))
             return found
 
         (fresh, late), problems = self.play(play)
 
-        assert isinstance(fresh, Newest)
+        assert isinstance(fresh, NewestRecords)
         assert isinstance(late, Unavailable)
         assert problems == []
 
@@ -197,7 +204,7 @@
     )
     def test_missing_or_invalid_era_changes_nothing(self, header):
         async def play(stand_in, store):
-            end = (await store.newest(FLEET_CONFIG)).next_offset
+            end = (await store.read_newest(FLEET_CONFIG)).next_position
             self.headers = [] if header is None else [(b"Store-Era", header)]
             store._pool.stream = self.stream(store._pool.stream)
             return end, await store.read(FLEET_CONFIG, end, 0)
@@ -210,7 +217,7 @@
     def test_lower_era_changes_nothing(self):
         async def play(stand_in, store):
             stand_in.model.era = 5
-            end = (await store.newest(FLEET_CONFIG)).next_offset
+            end = (await store.read_newest(FLEET_CONFIG)).next_position
             stand_in.model.era = 4
             return end, await store.read(FLEET_CONFIG, end, 0)
 
