--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -19,7 +19,7 @@
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation
 from beryljunction.gateway.state import EntryState
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import PeerTable
 from beryljunction.standins.platform_store import PlatformStoreModel
 
@@ -32,7 +32,7 @@
 _TIMEOUT_MS = 2_000
 # A thirty-second of this is an entry's own allowance, 2 for each service.
 _SLACK = 64
-_BOUNDS = HostBounds(repeat_slack=_SLACK)
+_BOUNDS = DeploymentBounds(repeat_slack=_SLACK)
 _SETTLE_S = 2.0
 # A crashed endpoint starts again under another id, at its address; its old record lapses later.
 _RESTART_S = 2.0
--- a/src/beryljunction/gateway/delivery.py
+++ b/src/beryljunction/gateway/delivery.py
@@ -5,7 +5,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.eventstream import StreamEvent
 from beryljunction.gateway.messages import Headers, ResponseHead, hop_by_hop_names
-from beryljunction.platform.headers import ENDPOINT_ONLY
+from beryljunction.platform.headers import STRIPPED_FROM_RESPONSES
 
 __all__ = ["AnswerWriter", "CallerAnswer"]
 
@@ -101,5 +101,5 @@
 
 
 def _end_to_end_headers(head: ResponseHead) -> Headers:
-    dropped = hop_by_hop_names(head.headers, frozenset()) | ENDPOINT_ONLY
+    dropped = hop_by_hop_names(head.headers, frozenset()) | STRIPPED_FROM_RESPONSES
     return [line for line in head.headers if line[0] not in dropped]
--- a/src/beryljunction/gateway/endpointword.py
+++ b/src/beryljunction/gateway/endpointword.py
@@ -3,7 +3,7 @@
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import ResponseHead
-from beryljunction.platform.requests import is_leaving, load_of, pause_s_of
+from beryljunction.platform.requests import has_leaving_header, parse_load, parse_retry_after
 from beryljunction.routing import KnownEndpoint, LoadReport
 
 __all__ = ["note_word"]
@@ -12,14 +12,14 @@
 def note_word(endpoint: KnownEndpoint, head: ResponseHead, log: ExchangeLog) -> None:
     """Update an endpoint's state from the headers of a response, regardless of its status."""
     now_s, status, endpoint_id = boot_time_s(), head.status, endpoint.record.endpoint_id
-    load = load_of(head.headers)
+    load = parse_load(head.headers)
     if load is not None:
         running, waiting = load
         endpoint.report = LoadReport(running, waiting, endpoint.in_flight, now_s)
-    if endpoint.leaving_s is None and is_leaving(status, head.headers):
+    if endpoint.leaving_s is None and has_leaving_header(status, head.headers):
         endpoint.leaving_s = wall_time_s()
         log.write("endpoint_leaving", endpoint=endpoint_id)
-    pause_s = pause_s_of(status, head.headers)
+    pause_s = parse_retry_after(status, head.headers)
     if pause_s > 0.0:
         endpoint.note_pause(pause_s, now_s)
         log.write("endpoint_paused", endpoint=endpoint_id, pause_s=round(pause_s, 2))
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -18,9 +18,9 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
 from beryljunction.platform.requests import (
-    has_not_run,
-    is_answer_to,
-    read_needs,
+    is_response_to,
+    parse_caller_headers,
+    was_not_executed,
 )
 from beryljunction.routing import (
     Admitted,
@@ -59,12 +59,12 @@
 
     async def run(self) -> None:
         """Serve the request; cancelled when the caller disconnects."""
-        needs = read_needs(self._request.headers)
-        if isinstance(needs, str):
-            self._answer_error(400, needs)
+        caller_headers = parse_caller_headers(self._request.headers)
+        if isinstance(caller_headers, str):
+            self._answer_error(400, caller_headers)
             return
-        self._needs = needs
-        self._log.request_id = needs.request_id
+        self._caller_headers = caller_headers
+        self._log.request_id = caller_headers.request_id
         admitted = self._admit()
         if isinstance(admitted, Denial):
             self._deny(admitted)
@@ -76,7 +76,7 @@
 
     async def _serve(self, admitted: Admitted) -> None:
         route = admitted.route
-        limit_ms = min(self._needs.deadline_ms or _DEFAULT_DEADLINE_MS, route.timeout_ms)
+        limit_ms = min(self._caller_headers.deadline_ms or _DEFAULT_DEADLINE_MS, route.timeout_ms)
         self._deadline_s = self._request.arrived_s + limit_ms / 1000
         self._service = route.service_for(self._state.random.random())
         self._log.digest = self._digest_for(admitted)
@@ -91,14 +91,16 @@
         self._time_out(plan)
 
     def _admit(self) -> Admitted | Denial:
-        state, needs = self._state, self._needs
+        state, caller_headers = self._state, self._caller_headers
         path, now_s = self._request.path, boot_time_s()
-        return admit(state.config, state.lease, needs.host, path, needs.api_key, now_s)
+        return admit(
+            state.config, state.lease, caller_headers.host, path, caller_headers.api_key, now_s
+        )
 
     def _digest_for(self, admitted: Admitted) -> str:
         request = self._request
         account = admitted.account.name if admitted.account is not None else ""
-        host = self._needs.host
+        host = self._caller_headers.host
         return request_digest(account, request.method, host, request.target, request.body)
 
     def _remaining_s(self) -> float:
@@ -106,7 +108,7 @@
 
     def _shared_parts(self) -> PromptParts:
         """Return the prompt parts that other requests may share: not the last one, unless alone."""
-        ids, tokens = self._needs.prompt_parts, self._needs.prompt_tokens
+        ids, tokens = self._caller_headers.prompt_parts, self._caller_headers.prompt_tokens
         if len(ids) > 1:
             return PromptParts(ids[:-1], tokens[:-1], tokens[-1])
         return PromptParts(ids, tokens)
@@ -233,9 +235,9 @@
             endpoint.note_failure(boot_time_s())
             return AttemptResult(AttemptOutcome.FAILED, call.problem)
         note_word(endpoint, head, self._log)
-        if has_not_run(head.status, head.headers):
+        if was_not_executed(head.status, head.headers):
             return AttemptResult(AttemptOutcome.DECLINED, str(head.status))
-        if not is_answer_to(self._log.request_id, head.headers):
+        if not is_response_to(self._log.request_id, head.headers):
             endpoint.note_failure(boot_time_s())
             return AttemptResult(AttemptOutcome.FAILED, "answer to another request")
         endpoint.note_answer()
@@ -303,7 +305,7 @@
         """Return the Retry-After value of a refusal in seconds; None to send no such header."""
         if reason == _QUARANTINED:
             return self._state.quarantine.left_s(self._log.digest)
-        deadline_ms = self._needs.deadline_ms
+        deadline_ms = self._caller_headers.deadline_ms
         left_s = None
         if deadline_ms is not None:
             left_s = self._request.arrived_s + deadline_ms / 1000 - boot_time_s()
--- a/src/beryljunction/gateway/outgoing.py
+++ b/src/beryljunction/gateway/outgoing.py
@@ -1,7 +1,7 @@
 """Builds the request that is sent to an endpoint."""
 
 from beryljunction.gateway.messages import HttpRequest, hop_by_hop_names
-from beryljunction.platform.requests import MUST_STAY, endpoint_headers, with_last_event
+from beryljunction.platform.requests import REQUIRED_HEADERS, endpoint_headers, with_last_event_id
 from beryljunction.routing import Admitted
 
 __all__ = ["build_endpoint_request"]
@@ -30,13 +30,13 @@
     route, account = admitted.route, admitted.account
     lines = request.headers
     if last_event_id is not None:
-        lines = with_last_event(lines, last_event_id)
+        lines = with_last_event_id(lines, last_event_id)
     urgency = route.priority
     if account is not None and account.priority is not None:
         urgency = account.priority
     headers = endpoint_headers(
         lines,
-        hop_by_hop_names(request.headers, MUST_STAY),
+        hop_by_hop_names(request.headers, REQUIRED_HEADERS),
         endpoint_id,
         remaining_ms,
         account.name if account is not None else None,
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -9,7 +9,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.signals import Signal
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import (
     AgeBound,
     CacheAwarePlacement,
@@ -88,7 +88,7 @@
         self._retry_shares: dict[str, RetryShare] = {}
         self._max_entries_seen = 1
 
-    def apply_bounds(self, bounds: HostBounds) -> None:
+    def apply_bounds(self, bounds: DeploymentBounds) -> None:
         """Replace the limits that the deployment guarantees."""
         if bounds == self.bounds:
             return
@@ -269,5 +269,5 @@
         return is_known and self.lease.is_ready(boot_time_s())
 
 
-def _cold_start_limit(bounds: HostBounds) -> ColdStartLimit:
+def _cold_start_limit(bounds: DeploymentBounds) -> ColdStartLimit:
     return ColdStartLimit(bounds.cold_overshoot, bounds.cold_slack)
--- a/src/beryljunction/local/platform.py
+++ b/src/beryljunction/local/platform.py
@@ -9,7 +9,7 @@
 
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformEndpointStandIn, PlatformStoreStandIn
 
@@ -62,7 +62,7 @@
             callers=_free_address(),
             probes=_free_address(),
             store=store,
-            bounds=HostBounds(),
+            bounds=DeploymentBounds(),
         )
         entry = EntryProcess(self.host, events or EntryEventLog("entry-local", "local"))
         self._group.start_soon(entry.run)
--- a/src/beryljunction/platform/__init__.py
+++ b/src/beryljunction/platform/__init__.py
@@ -2,7 +2,7 @@
 
 from beryljunction.platform.hostfile import (
     SETTINGS_VARIABLE,
-    HostBounds,
+    DeploymentBounds,
     HostSettings,
     format_address,
     parse_address,
@@ -37,7 +37,7 @@
     "Expired",
     "FLEET_CONFIG",
     "FLEET_CONFIG_KEY",
-    "HostBounds",
+    "DeploymentBounds",
     "HostSettings",
     "HttpStore",
     "NewestRecords",
--- a/src/beryljunction/platform/headers.py
+++ b/src/beryljunction/platform/headers.py
@@ -5,29 +5,29 @@
 
 __all__ = [
     "API_KEY",
-    "CALLER_MAY_NOT_SET",
-    "DEADLINE_LEFT_MS",
-    "ENDPOINT_ONLY",
+    "STRIPPED_FROM_REQUESTS",
+    "REMAINING_DEADLINE_MS",
+    "STRIPPED_FROM_RESPONSES",
     "EXPECTED_ENDPOINT",
     "FETCH_FROM",
-    "LAST_EVENT",
+    "LAST_EVENT_ID",
     "LEAVING",
     "LOAD",
-    "NOT_RUN",
+    "NOT_EXECUTED",
     "PROMPT_PARTS",
     "REQUEST_ID",
     "RETRY_AFTER_S",
-    "TENANT",
+    "CLIENT_ACCOUNT",
     "TOKEN_COUNTS",
     "URGENCY",
 ]
 
 REQUEST_ID = b"x-request-id"
 # Milliseconds that the sender will wait, counted from when it sent the request; not a timestamp.
-DEADLINE_LEFT_MS = b"x-deadline-ms"
+REMAINING_DEADLINE_MS = b"x-deadline-ms"
 API_KEY = b"x-credential"
 # Name of the client account, which the entry sets from the API key.
-TENANT = b"x-tenant"
+CLIENT_ACCOUNT = b"x-tenant"
 # Id of the endpoint that must respond; another endpoint at the same address responds with 421.
 EXPECTED_ENDPOINT = b"x-expect-instance"
 # IP:PORT of an endpoint from which to fetch the cached part of the prompt before prefill.
@@ -36,10 +36,10 @@
 PROMPT_PARTS = b"x-prompt-prefix"
 # "PROMPT,OUTPUT" token counts; OUTPUT is the maximum for the response.
 TOKEN_COUNTS = b"x-token-counts"
-LAST_EVENT = b"last-event-id"
+LAST_EVENT_ID = b"last-event-id"
 URGENCY = b"x-request-urgency"
 # Set on the response of an endpoint that did not run the request.
-NOT_RUN = b"x-not-executed"
+NOT_EXECUTED = b"x-not-executed"
 # "RUNNING,WAITING,SLOTS" of the endpoint that responds.
 LOAD = b"x-server-load"
 # "1" on every response of an endpoint that is draining; its record in the store may change later.
@@ -48,11 +48,11 @@
 RETRY_AFTER_S = b"retry-after"
 
 # Removed from callers' requests: the entry sets these itself or withholds them from endpoints.
-CALLER_MAY_NOT_SET = frozenset(
+STRIPPED_FROM_REQUESTS = frozenset(
     (
-        DEADLINE_LEFT_MS,
+        REMAINING_DEADLINE_MS,
         API_KEY,
-        TENANT,
+        CLIENT_ACCOUNT,
         EXPECTED_ENDPOINT,
         URGENCY,
         b"x-expect-version",
@@ -65,4 +65,4 @@
 )
 
 # Removed from endpoints' responses: information for the entry only.
-ENDPOINT_ONLY = frozenset((LOAD, LEAVING, b"x-instance-id"))
+STRIPPED_FROM_RESPONSES = frozenset((LOAD, LEAVING, b"x-instance-id"))
--- a/src/beryljunction/platform/hostfile.py
+++ b/src/beryljunction/platform/hostfile.py
@@ -11,8 +11,8 @@
 from beryljunction.routing import Mechanisms
 
 __all__ = [
-    "ADDRESS_FORM",
-    "HostBounds",
+    "ADDRESS_FORMAT",
+    "DeploymentBounds",
     "HostSettings",
     "MECHANISMS_VARIABLE",
     "SETTINGS_VARIABLE",
@@ -28,13 +28,13 @@
 OPERATOR_KEYS_VARIABLE = "BERYL_OPERATOR_KEYS_SHA256"
 # Routing mechanisms to switch off, as in "fetch=off,stall=off"; all others are on.
 MECHANISMS_VARIABLE = "BERYL_MECHANISMS"
-ADDRESS_FORM = "IP:PORT"
+ADDRESS_FORMAT = "IP:PORT"
 
 Address = tuple[str, int]
 
 
 @attrs.frozen
-class HostBounds:
+class DeploymentBounds:
     """Limits that the deployment guarantees; the defaults are those of the smallest site.
 
     Attributes:
@@ -83,7 +83,7 @@
     callers: Address
     probes: Address
     store: Address
-    bounds: HostBounds
+    bounds: DeploymentBounds
     metrics: Address | None = None
     peers: Address | None = None
     operator_keys: str = ""
@@ -166,7 +166,7 @@
             self.problems.append(f"{METRICS_PORT_VARIABLE}: expected a port, got {port!r}")
         return address
 
-    def _bounds(self) -> HostBounds:
+    def _bounds(self) -> DeploymentBounds:
         names = {
             "revocation_ms": "revocation-ms",
             "apply_ms": "configuration-apply-ms",
@@ -179,13 +179,13 @@
             "cold_overshoot": "cold-overshoot",
             "cold_slack": "cold-slack",
         }
-        defaults = HostBounds()
+        defaults = DeploymentBounds()
         values = {
             field: self._number(getattr(defaults, field), "bounds", name)
             for field, name in names.items()
         }
         values["heartbeat_ms"] = self._number(defaults.heartbeat_ms, "heartbeat-interval-ms")
-        return HostBounds(**values)  # type: ignore[arg-type]
+        return DeploymentBounds(**values)  # type: ignore[arg-type]
 
     def _get(self, *path: str) -> Any:
         value: Any = self._table
@@ -210,7 +210,7 @@
     def _address(self, *path: str) -> Address:
         value = self._get(*path)
         address = parse_address(value)
-        return address if address else self._add_problem(path, ADDRESS_FORM, value, ("", 0))
+        return address if address else self._add_problem(path, ADDRESS_FORMAT, value, ("", 0))
 
     def _add_problem(self, path: tuple[str, ...], expected: str, got: Any, default: Any) -> Any:
         place = ".".join(path)
--- a/src/beryljunction/platform/requests.py
+++ b/src/beryljunction/platform/requests.py
@@ -7,29 +7,29 @@
 from beryljunction.platform import headers
 
 __all__ = [
-    "CallerNeeds",
-    "MUST_STAY",
+    "CallerHeaders",
+    "REQUIRED_HEADERS",
     "endpoint_headers",
-    "has_not_run",
-    "is_answer_to",
-    "is_leaving",
-    "load_of",
-    "pause_s_of",
-    "read_needs",
-    "with_last_event",
+    "was_not_executed",
+    "is_response_to",
+    "has_leaving_header",
+    "parse_load",
+    "parse_retry_after",
+    "parse_caller_headers",
+    "with_last_event_id",
 ]
 
 _Headers = Sequence[tuple[bytes, bytes]]
 
 # Headers that identify and describe the request to the endpoint; they are never removed.
-MUST_STAY = frozenset(
+REQUIRED_HEADERS = frozenset(
     (
         b"host",
         b"content-type",
         headers.REQUEST_ID,
         headers.PROMPT_PARTS,
         headers.TOKEN_COUNTS,
-        headers.LAST_EVENT,
+        headers.LAST_EVENT_ID,
         b"x-model",
         b"x-length-hint",
     )
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class CallerNeeds:
+class CallerHeaders:
     """Values that a caller's headers specify for the request.
 
     Attributes:
@@ -60,7 +60,7 @@
     prompt_tokens: tuple[int, ...]
 
 
-def read_needs(lines: _Headers) -> CallerNeeds | str:
+def parse_caller_headers(lines: _Headers) -> CallerHeaders | str:
     """Parse a caller's headers; return an error message if they are invalid."""
     values = dict(reversed(lines))
     for name in _SINGLE_HEADERS:
@@ -69,11 +69,11 @@
             return f"expected one {name.decode()} header, got {count}"
     key = values.get(headers.API_KEY)
     parts = _parse_prompt_parts(values.get(headers.PROMPT_PARTS, b""))
-    return CallerNeeds(
+    return CallerHeaders(
         request_id=values.get(headers.REQUEST_ID, b"").decode("latin-1"),
         host=values[b"host"].decode("latin-1").partition(":")[0],
         api_key=key.decode("latin-1") if key is not None else None,
-        deadline_ms=_parse_int(values.get(headers.DEADLINE_LEFT_MS)),
+        deadline_ms=_parse_int(values.get(headers.REMAINING_DEADLINE_MS)),
         prompt_parts=tuple(part for part, _ in parts),
         prompt_tokens=tuple(tokens for _, tokens in parts),
     )
@@ -83,7 +83,7 @@
     lines: _Headers,
     dropped: frozenset[bytes],
     endpoint_id: str,
-    left_ms: int,
+    remaining_ms: int,
     account: str | None,
     urgency: int,
     fetch_from: tuple[str, int] | None = None,
@@ -94,7 +94,7 @@
         lines: The caller's headers.
         dropped: Names of headers that apply only to the caller's connection.
         endpoint_id: The only endpoint that may run the request.
-        left_ms: Remaining time until the caller's deadline.
+        remaining_ms: Remaining time until the caller's deadline.
         account: Client account of the caller; None for an anonymous caller.
         urgency: Priority class; 0 is served first.
         fetch_from: Address of an endpoint that has more of the prompt in its cache.
@@ -102,30 +102,30 @@
     kept = [
         (name, value)
         for name, value in lines
-        if name not in dropped and name not in headers.CALLER_MAY_NOT_SET
+        if name not in dropped and name not in headers.STRIPPED_FROM_REQUESTS
     ]
-    kept.append((headers.DEADLINE_LEFT_MS, b"%d" % left_ms))
+    kept.append((headers.REMAINING_DEADLINE_MS, b"%d" % remaining_ms))
     kept.append((headers.EXPECTED_ENDPOINT, endpoint_id.encode()))
     kept.append((headers.URGENCY, b"%d" % max(0, min(9, urgency))))
     if fetch_from is not None:
         kept.append((headers.FETCH_FROM, b"%b:%d" % (fetch_from[0].encode(), fetch_from[1])))
     if account is not None:
-        kept.append((headers.TENANT, account.encode()))
+        kept.append((headers.CLIENT_ACCOUNT, account.encode()))
     return kept
 
 
-def with_last_event(lines: _Headers, position: int) -> list[tuple[bytes, bytes]]:
+def with_last_event_id(lines: _Headers, position: int) -> list[tuple[bytes, bytes]]:
     """Return the headers with a last-event-id, after which the endpoint resumes the stream."""
-    kept = [line for line in lines if line[0] != headers.LAST_EVENT]
-    return [*kept, (headers.LAST_EVENT, b"%d" % position)]
+    kept = [line for line in lines if line[0] != headers.LAST_EVENT_ID]
+    return [*kept, (headers.LAST_EVENT_ID, b"%d" % position)]
 
 
-def has_not_run(status: int, lines: _Headers) -> bool:
+def was_not_executed(status: int, lines: _Headers) -> bool:
     """Return whether the response states that the endpoint did not run the request."""
-    return status == _STATUS_MISDIRECTED or any(name == headers.NOT_RUN for name, _ in lines)
+    return status == _STATUS_MISDIRECTED or any(name == headers.NOT_EXECUTED for name, _ in lines)
 
 
-def is_answer_to(request_id: str, lines: _Headers) -> bool:
+def is_response_to(request_id: str, lines: _Headers) -> bool:
     """Return whether a response belongs to the request and has no content encoding.
 
     A slow endpoint may send the response to an earlier request in place of the current one.
@@ -135,7 +135,7 @@
     return echoed == request_id and b"content-encoding" not in values_by_name
 
 
-def is_leaving(status: int, lines: _Headers) -> bool:
+def has_leaving_header(status: int, lines: _Headers) -> bool:
     """Return whether the response states that the endpoint is draining.
 
     A 421 comes from another endpoint at the same address, so its header is ignored.
@@ -143,7 +143,7 @@
     return status != _STATUS_MISDIRECTED and (headers.LEAVING, b"1") in lines
 
 
-def pause_s_of(status: int, lines: _Headers) -> float:
+def parse_retry_after(status: int, lines: _Headers) -> float:
     """Return the Retry-After time of an endpoint's 503 response; 0 for any other response.
 
     A value that is not a number of seconds counts as 0.
@@ -158,7 +158,7 @@
     return min(pause_s, _MAX_PAUSE_S) if pause_s > 0.0 else 0.0
 
 
-def load_of(lines: _Headers) -> tuple[int, int] | None:
+def parse_load(lines: _Headers) -> tuple[int, int] | None:
     """Return the running and waiting requests that an endpoint reports; None if it reports none."""
     value = next((value for name, value in lines if name == headers.LOAD), b"")
     fields = value.split(b",")
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -23,7 +23,7 @@
 from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updatelink import UpdateLink
-from beryljunction.platform import HostBounds, HostSettings, Unavailable
+from beryljunction.platform import DeploymentBounds, HostSettings, Unavailable
 from beryljunction.routing import PeerTable
 from beryljunction.standins.platform_store import PlatformStoreModel
 
@@ -35,7 +35,7 @@
 ANSWER_TIMEOUT_S = 0.3
 # Size of a message on the wire besides its body: request line, headers and response head.
 OVERHEAD_BYTES = 150
-BOUNDS = HostBounds(drain_ms=4_000)
+BOUNDS = DeploymentBounds(drain_ms=4_000)
 
 
 class NoLines:
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -13,7 +13,7 @@
 from beryljunction.gateway.callers import CallerConnection
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreStandIn
 from ports import free_ports
@@ -314,7 +314,7 @@
     """
     with contextlib.ExitStack() as held:
         async with anyio.create_task_group() as group:
-            harness = EntryHarness(group, bounds or HostBounds(), operator_keys, held)
+            harness = EntryHarness(group, bounds or DeploymentBounds(), operator_keys, held)
             await harness.start_store()
             if routes:
                 harness.configure(*routes)
--- a/testing/test_endpoint_word.py
+++ b/testing/test_endpoint_word.py
@@ -5,7 +5,7 @@
 
 from beryljunction.fuzz.platform.actors import Behaviour
 from beryljunction.fuzz.platform.world import ENTRIES, PlatformWorld, behave
-from beryljunction.platform.requests import is_leaving, pause_s_of
+from beryljunction.platform.requests import has_leaving_header, parse_retry_after
 from beryljunction.routing import EndpointRegistry, StoreReachability, retry_after_s
 from platform_world import open_harness, route
 from routing_fakes import endpoint
@@ -25,14 +25,14 @@
 class TestLeaving:
     @pytest.mark.parametrize("status", [200, 204, 404, 429, 500, 503])
     def test_header_counts_with_any_status(self, status):
-        assert is_leaving(status, [(b"server-leaving", b"1")])
+        assert has_leaving_header(status, [(b"server-leaving", b"1")])
 
     @pytest.mark.parametrize("value", [b"", b"0", b"no", b"-1", b"11", b"\xff"])
     def test_other_values_are_ignored(self, value):
-        assert not is_leaving(200, [(b"server-leaving", value)])
+        assert not has_leaving_header(200, [(b"server-leaving", value)])
 
     def test_misdirected_response_is_ignored(self):
-        assert not is_leaving(421, [(b"server-leaving", b"1")])
+        assert not has_leaving_header(421, [(b"server-leaving", b"1")])
 
     def test_it_is_logged_once_and_not_forwarded_to_callers(self):
         async def run():
@@ -59,17 +59,17 @@
         ("value", "pause_s"), [(b"3", 3.0), (b"0.25", 0.25), (b" 2 ", 2.0), (b"1e9", 3_600.0)]
     )
     def test_retry_after_of_a_rejection_sets_it(self, value, pause_s):
-        assert pause_s_of(503, [(b"retry-after", value)]) == pause_s
+        assert parse_retry_after(503, [(b"retry-after", value)]) == pause_s
 
     @pytest.mark.parametrize(
         "value", [b"", b"0", b"-1", b"nan", b"soon", b"Wed, 21 Oct 2026 07:28:00 GMT", b"\xff"]
     )
     def test_other_values_set_none(self, value):
-        assert pause_s_of(503, [(b"retry-after", value)]) == 0.0
+        assert parse_retry_after(503, [(b"retry-after", value)]) == 0.0
 
     @pytest.mark.parametrize("status", [200, 421, 429, 500])
     def test_other_statuses_set_none(self, status):
-        assert pause_s_of(status, [(b"retry-after", b"3")]) == 0.0
+        assert parse_retry_after(status, [(b"retry-after", b"3")]) == 0.0
 
     def test_endpoint_gets_no_requests_until_it_ends(self):
         """Guards against sending requests that an endpoint has asked this host not to send."""
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -16,14 +16,14 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import ZoneUpdate
 from beryljunction.listening import open_listener
-from beryljunction.platform import HostBounds, HostSettings, Record, Unavailable, WriteOutcome
+from beryljunction.platform import DeploymentBounds, HostSettings, Record, Unavailable, WriteOutcome
 from beryljunction.platform.store import Store
 from beryljunction.routing import PeerTable, should_ask_peers
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreStandIn
 from platform_world import CapturedLog, open_harness, route
 
-FAST = HostBounds(revocation_ms=3_000)
+FAST = DeploymentBounds(revocation_ms=3_000)
 CONFIG = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []}).encode()
 KNOWN = Known(3, 0.5, 0.7, ZoneUpdate(9, ("a",)), b'{"\xff', 7, (Record("e1", b"\x00\xfe"),))
 
@@ -129,7 +129,7 @@
     """An entry without sockets that read the settings at time 0 and has been cut off since."""
 
     def __init__(self, name, lines):
-        host = HostSettings(name, "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
+        host = HostSettings(name, "a", "r", ("", 1), ("", 2), ("", 3), DeploymentBounds())
         self.state = EntryState(host, EntryEventLog(name, "a", lines))
         self.config = ConfigWatcher(NoStore(), self.state)
         self.endpoints = EndpointWatcher(NoStore(), self.state)
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -2,11 +2,11 @@
 
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.state import EntryState
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from platform_world import CapturedLog
 from routing_fakes import config_of, endpoint, route_of
 
-BOUNDS = HostBounds(cold_overshoot=1.0)
+BOUNDS = DeploymentBounds(cold_overshoot=1.0)
 
 
 def state_of(*records):
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -3,7 +3,7 @@
 
 from beryljunction.cli.explain import explain as explain_command
 from beryljunction.explain import explain, parse_line
-from beryljunction.platform import HostBounds
+from beryljunction.platform import DeploymentBounds
 from platform_world import open_harness, reset, route
 from routing_fakes import known
 
@@ -18,7 +18,9 @@
 
     def test_request_refused_during_a_store_outage(self):
         async def run():
-            async with open_harness(route(), bounds=HostBounds(revocation_ms=2_000)) as harness:
+            async with open_harness(
+                route(), bounds=DeploymentBounds(revocation_ms=2_000)
+            ) as harness:
                 await harness.add_endpoint("e1")
                 await harness.wait_for_endpoints(1)
                 harness.store.faults.busy = True
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -8,7 +8,7 @@
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import (
-    HostBounds,
+    DeploymentBounds,
     HostSettings,
     NewestRecords,
     Record,
@@ -19,7 +19,7 @@
 )
 from platform_world import CapturedLog, open_harness, route
 
-FAST = HostBounds(revocation_ms=3_000)
+FAST = DeploymentBounds(revocation_ms=3_000)
 
 
 class TestSettings:
@@ -128,7 +128,7 @@
         """
         state, store = (
             EntryState(
-                HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds()),
+                HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), DeploymentBounds()),
                 EntryEventLog("e", "a", CapturedLog()),
             ),
             SlowStore(),
@@ -327,7 +327,7 @@
 
 
 def follow_config(store):
-    host = HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), HostBounds())
+    host = HostSettings("e", "a", "r", ("", 1), ("", 2), ("", 3), DeploymentBounds())
     return ConfigWatcher(store, EntryState(host, EntryEventLog("e", "a", CapturedLog())))
 
 
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -80,7 +80,7 @@
 
 
 def take_answers_of_other_requests(patch):
-    patch.setattr(exchange, "is_answer_to", lambda request_id, lines: True)
+    patch.setattr(exchange, "is_response_to", lambda request_id, lines: True)
 
 
 def hand_on_parts_of_events(patch):
@@ -154,11 +154,11 @@
 
 
 def ignore_answers_that_say_leaving(patch):
-    patch.setattr(endpointword, "is_leaving", lambda status, lines: False)
+    patch.setattr(endpointword, "has_leaving_header", lambda status, lines: False)
 
 
 def ignore_pauses_that_endpoints_ask_for(patch):
-    patch.setattr(endpointword, "pause_s_of", lambda status, lines: 0.0)
+    patch.setattr(endpointword, "parse_retry_after", lambda status, lines: 0.0)
 
 
 def forget_what_departed_endpoints_said(patch):
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -4,7 +4,7 @@
 import anyio
 import pytest
 
-from beryljunction.platform import HostBounds
+from beryljunction.platform import DeploymentBounds
 from platform_world import event, open_harness, read_answer, reset, route
 
 STREAM = {"kind": "streaming", "service": "plain", "target-gap-ms": 400}
@@ -500,7 +500,7 @@
 class TestColdEndpoints:
     """A cold endpoint gets a limited rate of requests; warm endpoints get the rest."""
 
-    BOUNDS = HostBounds(cold_overshoot=1.0, cold_slack=0.0)
+    BOUNDS = DeploymentBounds(cold_overshoot=1.0, cold_slack=0.0)
     # A cold endpoint takes four requests a second, of which three are divided among the entries.
     SERVICES = ({"name": "plain", "cold-start-s": 3, "cold-per-s": 4},)
 
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -7,7 +7,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.listening import open_listener
-from beryljunction.platform import HostBounds
+from beryljunction.platform import DeploymentBounds
 from platform_world import event, open_harness, read_answer, route
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
@@ -161,7 +161,7 @@
             await asyncio.sleep(30)
 
         async def run():
-            bounds = HostBounds(grace_s=3.4)
+            bounds = DeploymentBounds(grace_s=3.4)
             async with open_harness(route(**{"timeout-ms": 20_000}), bounds=bounds) as harness:
                 await harness.add_endpoint("e1", script=hang)
                 await harness.wait_for_endpoints(1)
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -6,14 +6,18 @@
 import anyio
 import pytest
 
-from beryljunction.platform import HostBounds
+from beryljunction.platform import DeploymentBounds
 from fanout_world import CountingStore, FleetWorld, StoreFault
 from platform_world import open_harness, route
 
 # By then, every wait that began before an entry knew the others has ended.
 STARTED_S = 14.0
 # The drain times of deployments of three sizes.
-BOUNDS = [HostBounds(drain_ms=2_000), HostBounds(drain_ms=3_000), HostBounds(drain_ms=4_000)]
+BOUNDS = [
+    DeploymentBounds(drain_ms=2_000),
+    DeploymentBounds(drain_ms=3_000),
+    DeploymentBounds(drain_ms=4_000),
+]
 SHORT = BOUNDS[0]
 ENDPOINTS = "keyed.servers"
 
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -11,7 +11,7 @@
 from beryljunction.gateway.peers import HttpPeerLink, PeerHandler, PeerLink
 from beryljunction.gateway.sharing import ShareNews
 from beryljunction.gateway.state import EntryState
-from beryljunction.platform import HostBounds, HostSettings
+from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
 from platform_world import open_harness, route
 from routing_fakes import endpoint
@@ -102,7 +102,7 @@
 
 def entry_state():
     free = ("127.0.0.1", 1)
-    host = HostSettings("me", "zone", "region", free, free, free, HostBounds())
+    host = HostSettings("me", "zone", "region", free, free, free, DeploymentBounds())
     return EntryState(host, EntryEventLog("me", "zone"))
 
 
