--- a/src/beryljunction/bench/control.py
+++ b/src/beryljunction/bench/control.py
@@ -10,7 +10,7 @@
 import attrs
 
 from beryljunction.bench.control_messages import MessageBytes, busy_row, measure_messages
-from beryljunction.settings import FollowSettings
+from beryljunction.settings import FollowerSettings
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.settings.snapshots import SnapshotSchedule
 from beryljunction.systems import LoadSystem
@@ -92,7 +92,7 @@
 def _figures(size: ControlSize, messages: MessageBytes) -> ControlFigures:
     load_each = _load_bytes_per_s(size.service_endpoints, messages)
     load_rows = sum(load_each) / len(load_each)
-    pace = FollowSettings()
+    pace = FollowerSettings()
     log_reads = messages.log_idle / (pace.poll_s + 1.5 * pace.pause_s)
     changes = messages.log_record * _CHANGES_PER_DAY / _DAY_S
     snapshots = _snapshots_per_s(size.nodes) * messages.snapshot
@@ -130,7 +130,9 @@
     while due[0][0] < _SETTLE_S + _COUNTED_S:
         now_s, name = heapq.heappop(due)
         heapq.heappush(due, (now_s + loads[name].interval_s * rng.uniform(0.8, 1.2), name))
-        peer = rotations[name].next("", names[: names.index(name)] + names[names.index(name) + 1 :])
+        peer = rotations[name].next_peer(
+            "", names[: names.index(name)] + names[names.index(name) + 1 :]
+        )
         if peer is None:
             continue
         rows = loads[name].rows_to_send(now_s)
@@ -146,7 +148,7 @@
 
 def _snapshots_per_s(nodes: int) -> float:
     """Let the timers of a fleet run; return how often a node reads or publishes a snapshot."""
-    retention_s = FollowSettings().retention_s
+    retention_s = FollowerSettings().retention_s
     rng = random.Random(1)
     schedules = [SnapshotSchedule(retention_s, rng, 0.0) for _ in range(nodes)]
     due = [(schedule.due_s, number) for number, schedule in enumerate(schedules)]
@@ -155,7 +157,7 @@
     while due[0][0] < _RETENTIONS * retention_s:
         now_s, number = heapq.heappop(due)
         transfers += 1
-        schedules[number].seen(now_s)
+        schedules[number].restart(now_s)
         heapq.heappush(due, (schedules[number].due_s, number))
     return transfers / nodes / (_RETENTIONS * retention_s)
 
@@ -171,6 +173,6 @@
 def _meetings_per_s(size: ControlSize) -> float:
     """Return how often a sidecar meets or is met while the log is down."""
     names = [f"sidecar-{number}" for number in range(size.sidecars)]
-    of_ring = 2.0 / PeerRotation.pace_s(names[0], names)
-    of_entries = size.entries / size.sidecars / PeerRotation.pace_s("", names)
+    of_ring = 2.0 / PeerRotation.exchange_interval_s(names[0], names)
+    of_entries = size.entries / size.sidecars / PeerRotation.exchange_interval_s("", names)
     return of_ring + of_entries
--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -16,7 +16,7 @@
     SETTINGS_PATH,
     HttpPeers,
     SettingsReader,
-    answer_settings,
+    serve_settings,
 )
 from beryljunction.sidecar.peers import PeerExchange
 from beryljunction.standins import HostListStandIn, LogStandIn
@@ -141,12 +141,12 @@
     reader = SettingsReader("")
 
     async def answer(scope: Scope, receive: Receive, send: Send) -> None:
-        await answer_settings(reader, reader.take_snapshot, scope, receive, send)
+        await serve_settings(reader, reader.take_snapshot, scope, receive, send)
 
     async with _Counted(_front(SETTINGS_PATH, answer)) as counted:
         peers = HttpPeers(lambda: [counted.server.address], reader, counted.pool, _KEY)
         for _ in range(_REPEATS):
-            await peers.newer_than(_VERSION)
+            await peers.exchange(_VERSION)
         return counted.total_bytes / _REPEATS
 
 
--- a/src/beryljunction/bench/settings_cost.py
+++ b/src/beryljunction/bench/settings_cost.py
@@ -14,7 +14,7 @@
     Accepted,
     Change,
     Edit,
-    FollowSettings,
+    FollowerSettings,
     SettingsFollower,
     SettingsReader,
     SettingsTree,
@@ -115,7 +115,7 @@
     ):
         await group.start(server.run_until_stopped)
         client = HttpLogClient(f"http://{server.address}", pool)
-        pace = FollowSettings(poll_s=0.0)
+        pace = FollowerSettings(poll_s=0.0)
         follower = SettingsFollower(SettingsReader(""), client, lambda _: None, settings=pace)
         _append(log, 1)
         await follower.step()
@@ -134,7 +134,7 @@
 
 
 def _cost(idle_bytes: float, record_bytes: float, snapshot_bytes: int) -> SettingsCost:
-    pace = FollowSettings()
+    pace = FollowerSettings()
     polls_per_s = 1.0 / (pace.poll_s + 1.5 * pace.pause_s)
     snapshots_per_s = 8.0 / pace.retention_s
     per_s = (
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -29,13 +29,13 @@
     Alarms,
     EntryFile,
     FleetView,
-    FollowSettings,
+    FollowerSettings,
     HttpPeers,
     ProcessSettings,
     SettingsFollower,
     SettingsReader,
     SidecarFile,
-    answer_settings,
+    serve_settings,
 )
 from beryljunction.stops import SETTLE_S, GracefulStop
 from beryljunction.stores import HttpHostList, HttpLogClient
@@ -212,7 +212,7 @@
         """Remember a peer with newer settings; it is asked next while the log is down."""
         row = self.hosts.view.rows.get(endpoint_id)
         if row is not None:
-            self._peers.note_newer(row.address)
+            self._peers.prefer_peer(row.address)
 
     def _settings_follower(self, process: ProcessSettings) -> SettingsFollower:
         self._peers = HttpPeers(
@@ -222,7 +222,7 @@
             process.fleet_key,
             self._own_address,
         )
-        pace = FollowSettings(retention_s=process.log_retention_s)
+        pace = FollowerSettings(retention_s=process.log_retention_s)
         return SettingsFollower(self.settings, self._log, self._apply, self._peers, pace)
 
     def _apply(self, view: FleetView) -> None:
@@ -242,7 +242,7 @@
 
     def _request_app(self, process: ProcessSettings) -> Asgi:
         async def show_settings(scope: Scope, receive: Receive, send: Send) -> None:
-            await answer_settings(self.settings, self._follower.take, scope, receive, send)
+            await serve_settings(self.settings, self._follower.apply_snapshot, scope, receive, send)
 
         routes = {SETTINGS_PATH: show_settings, **self.role.routes}
         metered = MeteredApp(self.role.app, self.metrics)
--- a/src/beryljunction/settings/__init__.py
+++ b/src/beryljunction/settings/__init__.py
@@ -15,13 +15,13 @@
 )
 from beryljunction.settings.files import converter, load_file, load_toml, structure
 from beryljunction.settings.following import (
-    FollowSettings,
+    FollowerSettings,
     NoPeers,
     PeerSource,
     SettingsFollower,
 )
 from beryljunction.settings.paths import FLEET, Path, Scope, parse_path, parse_scope
-from beryljunction.settings.peers import SETTINGS_PATH, HttpPeers, answer_settings
+from beryljunction.settings.peers import SETTINGS_PATH, HttpPeers, serve_settings
 from beryljunction.settings.reader import Alarms, Judged, SettingsReader
 from beryljunction.settings.resolving import Origin, Resolver, resolve
 from beryljunction.settings.rules import FieldRule, problem_of, rule_of
@@ -43,12 +43,12 @@
 
 __all__ = [
     "SETTINGS_PATH",
-    "FollowSettings",
+    "FollowerSettings",
     "HttpPeers",
     "NoPeers",
     "PeerSource",
     "SettingsFollower",
-    "answer_settings",
+    "serve_settings",
     "CHANGES_STREAM",
     "FLEET",
     "SNAPSHOTS_STREAM",
--- a/src/beryljunction/settings/following.py
+++ b/src/beryljunction/settings/following.py
@@ -16,7 +16,7 @@
 from beryljunction.settings.snapshots import SnapshotSchedule
 from beryljunction.stores.log import AppendRefused, LogClient, ReadFailed
 
-__all__ = ["FollowSettings", "NoPeers", "PeerSource", "SettingsFollower"]
+__all__ = ["FollowerSettings", "NoPeers", "PeerSource", "SettingsFollower"]
 
 _PAGE_RECORDS = 500
 _MAX_SNAPSHOTS_TRIED = 4
@@ -29,7 +29,7 @@
     """Other processes of the fleet, as a source of settings."""
 
     @abc.abstractmethod
-    async def newer_than(self, version: int) -> Any:
+    async def exchange(self, version: int) -> Any:
         """Exchange trees with the next peer: fetch its tree if newer, else push the own if newer.
 
         Returns:
@@ -38,25 +38,25 @@
 
     @property
     @abc.abstractmethod
-    def pace_s(self) -> float:
+    def exchange_interval_s(self) -> float:
         """Interval between two exchanges."""
 
 
 class NoPeers(PeerSource):
     """A source without any peers."""
 
-    async def newer_than(self, version: int) -> Any:
+    async def exchange(self, version: int) -> Any:
         """Return None."""
         return None
 
     @property
-    def pace_s(self) -> float:
+    def exchange_interval_s(self) -> float:
         """Return an interval that costs almost no CPU time."""
         return 1.0
 
 
 @attrs.frozen
-class FollowSettings:
+class FollowerSettings:
     """Intervals at which a follower reads the log.
 
     Attributes:
@@ -86,12 +86,12 @@
         log: LogClient,
         on_change: Callable[[FleetView], None],
         peers: PeerSource | None = None,
-        settings: FollowSettings | None = None,
+        settings: FollowerSettings | None = None,
         now_s: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
     ) -> None:
         self.reader = reader
-        self.settings = settings if settings is not None else FollowSettings()
+        self.settings = settings if settings is not None else FollowerSettings()
         self._log = log
         self._on_change = on_change
         self._peers = peers if peers is not None else NoPeers()
@@ -135,11 +135,11 @@
         self._failures = 0
         if not page.at_end:
             return 0.0
-        if self.settings.publishes and self._schedule.due(self._now_s()):
+        if self.settings.publishes and self._schedule.is_due(self._now_s()):
             await self._publish_snapshot()
         return self.settings.pause_s * (1.0 + self._rng.random())
 
-    async def peer_step(self) -> float:
+    async def poll_peer(self) -> float:
         """Exchange trees with one peer if the log is silent; return the pause before the next step.
 
         This runs concurrently with :meth:`step`, because a log that accepts connections but does
@@ -150,12 +150,12 @@
         remaining_s = self._last_response_s + self._log_silence_s - start_s
         if not self._failures and remaining_s > 0.0:
             return max(_MIN_PAUSE_S, remaining_s)
-        data = await self._peers.newer_than(self.reader.version)
+        data = await self._peers.exchange(self.reader.version)
         if data is not None:
-            self.take(data)
-        return max(_MIN_PAUSE_S, self._peers.pace_s - (self._now_s() - start_s))
+            self.apply_snapshot(data)
+        return max(_MIN_PAUSE_S, self._peers.exchange_interval_s - (self._now_s() - start_s))
 
-    def take(self, data: Any) -> bool:
+    def apply_snapshot(self, data: Any) -> bool:
         """Apply a snapshot from a peer or the log if it is newer; return whether it was."""
         taken = self.reader.take_snapshot(data)
         if taken:
@@ -169,7 +169,7 @@
 
     async def _poll_peers(self) -> None:
         while True:
-            await anyio.sleep(await self.peer_step())
+            await anyio.sleep(await self.poll_peer())
 
     def _back_off(self) -> float:
         """Return a backoff with jitter, so that a recovering log is not overloaded."""
@@ -188,7 +188,7 @@
             snapshot_page = await self._log.read(SNAPSHOTS_STREAM, offset - 1, 1)
             if isinstance(snapshot_page, ReadFailed):
                 return False
-            if snapshot_page.records and self.take(snapshot_page.records[0].data):
+            if snapshot_page.records and self.apply_snapshot(snapshot_page.records[0].data):
                 self._snapshot_offset = offset
                 break
         return True
@@ -201,18 +201,18 @@
         """
         page = await self._log.read(SNAPSHOTS_STREAM, self._snapshot_offset, _MAX_SNAPSHOTS_TRIED)
         if isinstance(page, ReadFailed):
-            self._schedule.failed(self._now_s())
+            self._schedule.schedule_retry(self._now_s())
             return
         if page.records:
             self._snapshot_offset = page.records[-1].offset
-            self._schedule.seen(self._now_s())
+            self._schedule.restart(self._now_s())
             return
         if self.reader.version == 0:
-            self._schedule.seen(self._now_s())
+            self._schedule.restart(self._now_s())
             return
         data = self.reader.tree.to_data()
         outcome = await self._log.append(SNAPSHOTS_STREAM, f"snapshot-{self.reader.version}", data)
         if isinstance(outcome, AppendRefused):
-            self._schedule.failed(self._now_s())
+            self._schedule.schedule_retry(self._now_s())
         else:
-            self._schedule.seen(self._now_s())
+            self._schedule.restart(self._now_s())
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -16,7 +16,7 @@
     Change,
     Edit,
 )
-from beryljunction.settings.following import FollowSettings, PeerSource, SettingsFollower
+from beryljunction.settings.following import FollowerSettings, PeerSource, SettingsFollower
 from beryljunction.settings.paths import Path, Scope, parse_path, parse_scope
 from beryljunction.settings.publishing import (
     AppendNow,
@@ -62,7 +62,7 @@
         self._now_s = now_s
         self._sleep = sleep
         self._rng = rng if rng is not None else random.Random()
-        settings = FollowSettings(poll_s=0.0, publishes=False)
+        settings = FollowerSettings(poll_s=0.0, publishes=False)
         self._follower = SettingsFollower(
             self.reader, log, lambda view: None, peers, settings, now_s, self._rng
         )
--- a/src/beryljunction/settings/peers.py
+++ b/src/beryljunction/settings/peers.py
@@ -15,7 +15,7 @@
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.wire import FLEET_KEY_HEADER
 
-__all__ = ["SETTINGS_PATH", "HttpPeers", "answer_settings"]
+__all__ = ["SETTINGS_PATH", "HttpPeers", "serve_settings"]
 
 SETTINGS_PATH = "/beryl/v1/settings"
 # Version and digest share one header line, since it is most of the size of a 204 response.
@@ -26,9 +26,9 @@
 _MAX_TREE_BYTES = 4_194_304
 
 
-async def answer_settings(
+async def serve_settings(
     reader: SettingsReader,
-    take: Callable[[Any], object],
+    apply_snapshot: Callable[[Any], object],
     scope: Scope,
     receive: Receive,
     send: Send,
@@ -36,10 +36,10 @@
     """Respond to GET SETTINGS_PATH?after=N: 200 with the tree when it is newer than N, else 204.
 
     Both responses have the version and digest in a header. PUT pushes a tree, which is passed to
-    ``take`` and applied if it is newer. The caller has checked the fleet's key.
+    ``apply_snapshot`` and applied if it is newer. The caller has checked the fleet's key.
     """
     if scope["method"] == "PUT":
-        _apply_pushed_tree(take, await read_body(receive, _MAX_TREE_BYTES))
+        _apply_pushed_tree(apply_snapshot, await read_body(receive, _MAX_TREE_BYTES))
         await respond(send, 204, b"")
         return
     fields = parse_qs(scope["query_string"].decode("latin-1"))
@@ -52,12 +52,12 @@
         await send({"type": "http.response.body"})
 
 
-def _apply_pushed_tree(take: Callable[[Any], object], body: bytes | None) -> None:
+def _apply_pushed_tree(apply_snapshot: Callable[[Any], object], body: bytes | None) -> None:
     try:
         data = json.loads(body or b"")
     except ValueError:
         return
-    take(data)
+    apply_snapshot(data)
 
 
 class HttpPeers(PeerSource):
@@ -86,18 +86,18 @@
         self._preferred_address = ""
 
     @property
-    def pace_s(self) -> float:
-        """Return the rotation's interval; see :meth:`PeerSource.pace_s`."""
-        return self._rotation.pace_s(self._own(), self._addresses())
+    def exchange_interval_s(self) -> float:
+        """Return the rotation's interval; see :meth:`PeerSource.exchange_interval_s`."""
+        return self._rotation.exchange_interval_s(self._own(), self._addresses())
 
-    def note_newer(self, address: str) -> None:
+    def prefer_peer(self, address: str) -> None:
         """Choose the peer at this address next, since it reported newer settings."""
         self._preferred_address = address
 
-    async def newer_than(self, version: int) -> Any:
-        """Exchange trees with the next peer; see :meth:`PeerSource.newer_than`."""
+    async def exchange(self, version: int) -> Any:
+        """Exchange trees with the next peer; see :meth:`PeerSource.exchange`."""
         preferred, self._preferred_address = self._preferred_address, ""
-        address = preferred or self._rotation.next(self._own(), self._addresses())
+        address = preferred or self._rotation.next_peer(self._own(), self._addresses())
         if address is None:
             return None
         response = await self._fetch(address, version)
--- a/src/beryljunction/settings/rotation.py
+++ b/src/beryljunction/settings/rotation.py
@@ -51,7 +51,7 @@
         self._rng = rng
         self._round: list[str] = []
 
-    def next(self, own: str, peers: Collection[str]) -> str | None:
+    def next_peer(self, own: str, peers: Collection[str]) -> str | None:
         """Return the peer to poll now; None if there are no peers.
 
         Args:
@@ -66,7 +66,7 @@
         return self._round.pop() if self._round else None
 
     @staticmethod
-    def pace_s(own: str, peers: Collection[str]) -> float:
+    def exchange_interval_s(own: str, peers: Collection[str]) -> float:
         """Return the interval between two exchanges."""
         ring_size = len({*peers, own} - {""})
         for intervals in _BOUNDED_INTERVALS:
--- a/src/beryljunction/settings/snapshots.py
+++ b/src/beryljunction/settings/snapshots.py
@@ -22,16 +22,16 @@
         self._period_s = retention_s / _PERIODS_PER_RETENTION
         self._rng = rng
         self.due_s = 0.0
-        self.seen(now_s)
+        self.restart(now_s)
 
-    def due(self, now_s: float) -> bool:
+    def is_due(self, now_s: float) -> bool:
         """Return whether to check for a newer snapshot and, if there is none, publish one."""
         return now_s >= self.due_s
 
-    def seen(self, now_s: float) -> None:
+    def restart(self, now_s: float) -> None:
         """Restart the timer, after a newer snapshot was found or published."""
         self.due_s = now_s + self._period_s * (1.0 + self._rng.random())
 
-    def failed(self, now_s: float) -> None:
+    def schedule_retry(self, now_s: float) -> None:
         """Schedule a retry, after the log was down or at its rate limit."""
         self.due_s = now_s + _RETRY_S * (0.5 + self._rng.random())
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -74,7 +74,7 @@
         task_status.started()
         while True:
             await anyio.sleep(self._load.interval_s * self._rng.uniform(0.8, 1.2))
-            peer = self._rotation.next("", self._addresses)
+            peer = self._rotation.next_peer("", self._addresses)
             if peer is not None:
                 await self.tell(peer)
 
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -28,11 +28,11 @@
         reader._resolve()
         return True
 
-    async def newer_than(peers, version):
+    async def exchange(peers, version):
         return peers.world.nodes[peers.world.random.choice(NODES)].reader.tree.to_data()
 
     monkeypatch.setattr(SettingsReader, "take_snapshot", take_snapshot)
-    monkeypatch.setattr(Peers, "newer_than", newer_than)
+    monkeypatch.setattr(Peers, "exchange", exchange)
 
 
 def without_conflicts(monkeypatch):
@@ -45,10 +45,10 @@
 
 
 def without_peers(monkeypatch):
-    async def newer_than(peers, version):
+    async def exchange(peers, version):
         return None
 
-    monkeypatch.setattr(Peers, "newer_than", newer_than)
+    monkeypatch.setattr(Peers, "exchange", exchange)
 
 
 def without_doubt(monkeypatch):
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -19,7 +19,7 @@
     CHANGES_STREAM,
     Change,
     Edit,
-    FollowSettings,
+    FollowerSettings,
     PeerSource,
     Read,
     SettingsFollower,
@@ -37,7 +37,7 @@
 NODES = ("entry-0", "entry-1", "drafter-0", "drafter-1")
 OPERATORS = ("asha", "ravi", "mira")
 # Long enough that a snapshot always remains; the platform does not promise more.
-FOLLOW = FollowSettings(poll_s=0.0, pause_s=1.0, retention_s=400.0)
+FOLLOW = FollowerSettings(poll_s=0.0, pause_s=1.0, retention_s=400.0)
 AGREE_S = 5.0
 SILENT_S = 2.0
 IN_FORCE_S = 9.0
@@ -151,18 +151,18 @@
         self.rotation = PeerRotation(world.random)
 
     @property
-    def pace_s(self):
-        return self.rotation.pace_s(self.node.name, NODES)
+    def exchange_interval_s(self):
+        return self.rotation.exchange_interval_s(self.node.name, NODES)
 
-    async def newer_than(self, version):
-        other = self.world.nodes[self.rotation.next(self.node.name, NODES)]
+    async def exchange(self, version):
+        other = self.world.nodes[self.rotation.next_peer(self.node.name, NODES)]
         if self.node.peers_cut or other.peers_cut or other.owner in self.world.scheduler.paused:
             await sleep(0.5)
             return None
         data = other.reader.tree.to_data() if other.reader.version > version else None
         await sleep(self.world.random.uniform(0.005, 0.5))
         if other.reader.version < version:
-            other.follower.take(self.node.reader.tree.to_data())
+            other.follower.apply_snapshot(self.node.reader.tree.to_data())
         return data
 
 
@@ -251,7 +251,7 @@
             node.reader, Log(self, node), lambda view: None, Peers(self, node), FOLLOW, clock, rng
         )
         node.follower = follower
-        for step in (follower.step, follower.peer_step):
+        for step in (follower.step, follower.poll_peer):
             self.scheduler.start(self._loop(step), node.owner)
         if name in self.engines:
             self.controls[name] = Engine(self, self.engines[name])
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -59,7 +59,7 @@
         head = [(b"beryl-settings", f"{reader.version} {reader.digest}".encode())]
         status, body = 204, b""
         if method == "PUT":
-            follower.take(json.loads(content))
+            follower.apply_snapshot(json.loads(content))
         elif reader.version > int(query.partition("after=")[2]):
             status, body = 200, json.dumps(reader.tree.to_data()).encode()
         await sleep(self.rng.uniform(0.001, 0.01))
@@ -86,7 +86,7 @@
         clock = lambda: self.scheduler.now_s  # noqa: E731
         follower = SettingsFollower(reader, self.log, lambda _: None, peers, None, clock, rng)
         self.followers[name] = follower
-        for step in (follower.step, follower.peer_step):
+        for step in (follower.step, follower.poll_peer):
             self.scheduler.start(self.loop(step), at_s=self.rng.random())
 
     async def loop(self, step):
@@ -129,18 +129,18 @@
         met = set()
         for own in ring:
             rotation = PeerRotation(random.Random(own))
-            met |= {frozenset((own, rotation.next(own, ring))) for _ in range(nodes // 2)}
+            met |= {frozenset((own, rotation.next_peer(own, ring))) for _ in range(nodes // 2)}
 
         assert len(met) == nodes * (nodes - 1) // 2
 
     def test_round_goes_on_when_a_peer_joins_or_leaves(self):
         rotation = PeerRotation(random.Random(1))
-        first = rotation.next("", ["a", "b", "c"])
+        first = rotation.next_peer("", ["a", "b", "c"])
 
-        rest = {rotation.next("", ["b", "c", "d"]) for _ in range(4)}
+        rest = {rotation.next_peer("", ["b", "c", "d"]) for _ in range(4)}
 
         assert first in "abc"
         assert rest >= {"b", "c"} - {first}
 
     def test_single_process_has_no_peer(self):
-        assert PeerRotation(random.Random(1)).next("a", ["a"]) is None
+        assert PeerRotation(random.Random(1)).next_peer("a", ["a"]) is None
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -14,7 +14,7 @@
     Change,
     Edit,
     SettingsReader,
-    answer_settings,
+    serve_settings,
 )
 from beryljunction.settings.operating import Invalid, OperatorSession
 from beryljunction.settings.publishing import (
@@ -185,7 +185,7 @@
         async def node(scope, receive, send):
             page = self.log.model.read(CHANGES_STREAM, self.reader.version, 500, 0.0)
             self.reader.take_page(page)
-            await answer_settings(self.reader, self.reader.take_snapshot, scope, receive, send)
+            await serve_settings(self.reader, self.reader.take_snapshot, scope, receive, send)
 
         self.hosts = HostListStandIn()
         apps = (self.log, node, self.hosts)
--- a/testing/test_reader.py
+++ b/testing/test_reader.py
@@ -9,18 +9,18 @@
     SNAPSHOTS_STREAM,
     Change,
     Edit,
-    FollowSettings,
+    FollowerSettings,
     HttpPeers,
     PeerSource,
     SettingsFollower,
     SettingsReader,
-    answer_settings,
+    serve_settings,
 )
 from beryljunction.settings.snapshots import SnapshotSchedule
 from beryljunction.standins import LogModel, LogModelSettings, ModelLogClient
 from beryljunction.stores import LogPage, LogRecord
 
-POLL = FollowSettings(poll_s=0.0, retention_s=80.0)
+POLL = FollowerSettings(poll_s=0.0, retention_s=80.0)
 
 
 def change(number, base):
@@ -52,7 +52,7 @@
 
     def step(self, follower):
         """Run one step; it never suspends, so no event loop is needed."""
-        for step in (follower.step, follower.peer_step):
+        for step in (follower.step, follower.poll_peer):
             with pytest.raises(StopIteration):
                 step().send(None)
 
@@ -61,9 +61,9 @@
     def __init__(self, reader):
         self.reader = reader
 
-    pace_s = 1.0
+    exchange_interval_s = 1.0
 
-    async def newer_than(self, version):
+    async def exchange(self, version):
         return self.reader.tree.to_data() if self.reader.version > version else None
 
 
@@ -189,12 +189,12 @@
             ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
 
             async def app(scope, receive, send):
-                await answer_settings(behind, behind.take_snapshot, scope, receive, send)
+                await serve_settings(behind, behind.take_snapshot, scope, receive, send)
 
             server = Server(app, bind("127.0.0.1:0"))
             async with anyio.create_task_group() as group, client_pool() as pool:
                 await group.start(server.run_until_stopped)
-                await HttpPeers(lambda: [server.address], ahead, pool, "key").newer_than(1)
+                await HttpPeers(lambda: [server.address], ahead, pool, "key").exchange(1)
                 group.cancel_scope.cancel()
             return ahead, behind
 
@@ -208,14 +208,14 @@
             ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
 
             async def app(scope, receive, send):
-                await answer_settings(ahead, ahead.take_snapshot, scope, receive, send)
+                await serve_settings(ahead, ahead.take_snapshot, scope, receive, send)
 
             server = Server(app, bind("127.0.0.1:0"))
             async with anyio.create_task_group() as group, client_pool() as pool:
                 await group.start(server.run_until_stopped)
                 peers = HttpPeers(lambda: [server.address], behind, pool, "key")
-                data = await peers.newer_than(0)
-                nothing = await peers.newer_than(1)
+                data = await peers.exchange(0)
+                nothing = await peers.exchange(1)
                 group.cancel_scope.cancel()
             return ahead, behind, data, nothing
 
@@ -230,7 +230,7 @@
     def test_single_process_publishes_with_half_of_the_retention_left(self):
         schedule = SnapshotSchedule(80.0, random.Random(1), 0.0)
 
-        due = [schedule.due(float(second)) for second in range(22)]
+        due = [schedule.is_due(float(second)) for second in range(22)]
 
         assert not any(due[:10])
         assert due[20]
