--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -15,7 +15,7 @@
     CHANGES_STREAM,
     SETTINGS_PATH,
     HttpPeers,
-    SettingsReader,
+    SettingsState,
     serve_settings,
 )
 from beryljunction.sidecar.peers import PeerExchange
@@ -138,13 +138,13 @@
 
 
 async def _meeting() -> float:
-    reader = SettingsReader("")
+    state = SettingsState("")
 
     async def answer(scope: Scope, receive: Receive, send: Send) -> None:
-        await serve_settings(reader, reader.take_snapshot, scope, receive, send)
+        await serve_settings(state, state.apply_snapshot, scope, receive, send)
 
     async with _Counted(_front(SETTINGS_PATH, answer)) as counted:
-        peers = HttpPeers(lambda: [counted.server.address], reader, counted.pool, _KEY)
+        peers = HttpPeers(lambda: [counted.server.address], state, counted.pool, _KEY)
         for _ in range(_REPEATS):
             await peers.exchange(_VERSION)
         return counted.total_bytes / _REPEATS
--- a/src/beryljunction/bench/handover.py
+++ b/src/beryljunction/bench/handover.py
@@ -16,7 +16,7 @@
 from beryljunction.entry.writers import ROUTE_HINT_HEADER
 from beryljunction.local import DEMO_KEY, LocalFleet, demo_view
 from beryljunction.servers import client_pool
-from beryljunction.settings import FleetView
+from beryljunction.settings import ResolvedSettings
 
 __all__ = ["HandoverFigures", "HandoverLoad", "measure_handover"]
 
@@ -104,7 +104,7 @@
     return figures
 
 
-def _view(handed_on: bool) -> FleetView:
+def _view(handed_on: bool) -> ResolvedSettings:
     """Return settings by which the stop does not wait long for callers that are done."""
     view = demo_view()
     service = attrs.evolve(view.services[_SERVICE], resume_s=1.0)
--- a/src/beryljunction/bench/relay_parts.py
+++ b/src/beryljunction/bench/relay_parts.py
@@ -26,8 +26,8 @@
 from beryljunction.settings import (
     AccountSettings,
     EntryFile,
-    FleetView,
     ProcessSettings,
+    ResolvedSettings,
     ServiceSettings,
     SidecarFile,
 )
@@ -94,10 +94,10 @@
             await send({"type": "http.response.body", "body": b""})
 
 
-def _view() -> FleetView:
+def _view() -> ResolvedSettings:
     service = ServiceSettings(models=(MODEL,), max_running=_STREAMS, max_waiting=_STREAMS)
     account = AccountSettings(hashlib.sha256(BENCH_KEY.encode()).hexdigest())
-    return FleetView(services={MODEL: service}, accounts={"bench": account})
+    return ResolvedSettings(services={MODEL: service}, accounts={"bench": account})
 
 
 def _process(host: str) -> ProcessSettings:
--- a/src/beryljunction/bench/settings_cost.py
+++ b/src/beryljunction/bench/settings_cost.py
@@ -16,7 +16,7 @@
     Edit,
     FollowerSettings,
     SettingsFollower,
-    SettingsReader,
+    SettingsState,
     SettingsTree,
     reads_of,
 )
@@ -116,7 +116,7 @@
         await group.start(server.run_until_stopped)
         client = HttpLogClient(f"http://{server.address}", pool)
         pace = FollowerSettings(poll_s=0.0)
-        follower = SettingsFollower(SettingsReader(""), client, lambda _: None, settings=pace)
+        follower = SettingsFollower(SettingsState(""), client, lambda _: None, settings=pace)
         _append(log, 1)
         await follower.step()
         counted[0] = 0
--- a/src/beryljunction/bench/slopes/rig.py
+++ b/src/beryljunction/bench/slopes/rig.py
@@ -24,7 +24,7 @@
 from beryljunction.local.demo_view import DEMO_REGION, DEMO_ZONES, leaves_of_view
 from beryljunction.local.files import StandInEndpoint, StandInsFile
 from beryljunction.servers import client_pool
-from beryljunction.settings import EntryFile, FleetView, ProcessSettings, SidecarFile
+from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
 from beryljunction.stores import HostRow
 
 __all__ = ["Node", "Rig", "free_address", "open_rig"]
@@ -75,7 +75,7 @@
         self,
         directory: pathlib.Path,
         pool: httpcore.AsyncConnectionPool,
-        view: FleetView,
+        view: ResolvedSettings,
     ) -> None:
         self.pool = pool
         self.view = view
@@ -203,7 +203,7 @@
 
 
 @contextlib.asynccontextmanager
-async def open_rig(view: FleetView) -> AsyncIterator[Rig]:
+async def open_rig(view: ResolvedSettings) -> AsyncIterator[Rig]:
     """Return a rig whose processes end with the block."""
     with tempfile.TemporaryDirectory() as directory:
         async with client_pool() as pool:
--- a/src/beryljunction/bench/slopes/state.py
+++ b/src/beryljunction/bench/slopes/state.py
@@ -6,7 +6,7 @@
 
 from beryljunction.bench.slopes.fit import Point, Slope, fit
 from beryljunction.loads import LoadRow
-from beryljunction.settings import AccountSettings, FleetView, ServiceSettings
+from beryljunction.settings import AccountSettings, ResolvedSettings, ServiceSettings
 from beryljunction.settings.paths import parse_path
 from beryljunction.settings.tree import Leaf, SettingsTree
 from beryljunction.systems import TombstoneSystem
@@ -62,7 +62,7 @@
 
     def build(self, count: int) -> object:
         accounts = {f"account-{i}": AccountSettings(f"{i:064x}", 1.0 + i) for i in range(count)}
-        return FleetView(services={"drafter": ServiceSettings()}, accounts=accounts)
+        return ResolvedSettings(services={"drafter": ServiceSettings()}, accounts=accounts)
 
 
 class _Pointers(StateSubject):
--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -10,7 +10,7 @@
 from beryljunction.errors import BerylError
 from beryljunction.logs import configure_logs
 from beryljunction.node import Node
-from beryljunction.settings import EntryFile, FleetView, SidecarFile, load_file
+from beryljunction.settings import EntryFile, ResolvedSettings, SidecarFile, load_file
 
 __all__ = ["run_daemon", "run_file", "serve"]
 
@@ -30,7 +30,9 @@
     return 0
 
 
-def serve(settings: pathlib.Path, kind: type[F], make: Callable[[F, FleetView], Node]) -> int:
+def serve(
+    settings: pathlib.Path, kind: type[F], make: Callable[[F, ResolvedSettings], Node]
+) -> int:
     """Run a process until it gets a signal and return its exit code.
 
     Args:
@@ -40,7 +42,7 @@
     """
 
     async def run(file: F) -> None:
-        await make(file, file.fleet or FleetView()).run_until_signal()
+        await make(file, file.fleet or ResolvedSettings()).run_until_signal()
 
     configure_logs()
     return run_file(settings, kind, run)
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -68,11 +68,11 @@
         wanted, problems = leaves_of(load_toml(tree))
         if problems:
             return print_problems(problems, json)
-        present = desk.session.reader.tree.values()
+        present = desk.session.state.tree.values()
         edits = edits_between(present, wanted)
         rows = [edit_row(edit, present) for edit in edits]
         lines = [f"{r['path']}: {value_text(r['old'])} -> {value_text(r['new'])}" for r in rows]
-        data = {"version": desk.session.reader.version, "edits": rows}
+        data = {"version": desk.session.state.version, "edits": rows}
         say(json, data, *(lines or ["no difference"]))
         return EXIT_REFUSED if edits else EXIT_OK
 
@@ -89,8 +89,8 @@
 
     async def run(desk: Desk) -> int:
         if not paths:
-            tables = tables_of(desk.session.reader.tree.values())
-            version = desk.session.reader.version
+            tables = tables_of(desk.session.state.tree.values())
+            version = desk.session.state.version
             say(json, {"version": version, "tree": tables}, tomli_w.dumps(tables).rstrip())
             return EXIT_OK
         values = {path: _find_origin(desk, path).value for path in paths}
@@ -144,10 +144,10 @@
     async def run(desk: Desk) -> int:
         if not await desk.session.replay():
             return print_log_down(json)
-        rows = [j for j in desk.session.reader.history if not id or j.change_id == id]
+        rows = [j for j in desk.session.state.history if not id or j.change_id == id]
         shown = rows[:1] if id else rows[-limit:]
         if not shown:
-            version = desk.session.reader.version
+            version = desk.session.state.version
             text = f"not there: the log's kept records up to offset {version} do not hold it"
             say(json, {"changes": []}, text)
             return EXIT_REFUSED if id else EXIT_OK
@@ -166,13 +166,13 @@
     """
 
     async def run(desk: Desk) -> int:
-        reader = desk.session.reader
+        state = desk.session.state
         end_s = time.monotonic() + (for_s or float("inf"))
         while time.monotonic() < end_s:
-            seen = reader.version
+            seen = state.version
             if not await desk.session.look():
                 return print_log_down(json)
-            for judged in [j for j in reader.history if j.offset > seen]:
+            for judged in [j for j in state.history if j.offset > seen]:
                 say(json, judged_row(judged), judged_line(judged))
             await anyio.sleep(_POLL_INTERVAL_S)
         return EXIT_OK
@@ -207,8 +207,8 @@
         raise SettingsError([problem_of(path, None) or text])
     scope = path.scope
     if scope.operator:
-        return Origin(desk.session.reader.tree.value(path), scope)
-    resolver = Resolver(desk.session.reader.tree, scope.region or desk.file.region)
+        return Origin(desk.session.state.tree.value(path), scope)
+    resolver = Resolver(desk.session.state.tree, scope.region or desk.file.region)
     origin = resolver.origin(path.field, scope.account, scope.service)
     return origin if origin is not None else Origin(rule.default, None)
 
@@ -220,7 +220,7 @@
         if scope is None:
             rows.append({"scope": "default", "value": origin.value})
             continue
-        leaf = desk.session.reader.tree.leaves[Path(scope, field)]
+        leaf = desk.session.state.tree.leaves[Path(scope, field)]
         row = {"scope": str(scope), "value": leaf.value, "version": leaf.version}
         rows.append({**row, "operator": leaf.operator, "change_id": leaf.change_id})
     return rows
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -40,7 +40,7 @@
     """
 
     async def run(desk: Desk) -> int:
-        edits, problems = _parse_edits(assignments, file, desk.session.reader.tree.values())
+        edits, problems = _parse_edits(assignments, file, desk.session.state.tree.values())
         if problems:
             return print_problems(problems, json)
         if not edits:
@@ -71,7 +71,7 @@
 
 
 async def _publish(desk: Desk, edits: tuple[Edit, ...], note: str, json: bool) -> int:
-    base = desk.session.reader.version
+    base = desk.session.state.version
     answer = await desk.session.publish(edits, note)
     if isinstance(answer, Invalid):
         return print_problems(list(answer.problems), json)
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -63,7 +63,7 @@
         async with client_pool() as pool, operator_client(file) as client:
             log = HttpLogClient(file.log_address, pool)
             session = OperatorSession(log, file.operator, file.key)
-            nodes = HttpPeers(lambda: file.nodes, session.reader, pool, file.fleet_key)
+            nodes = HttpPeers(lambda: file.nodes, session.state, pool, file.fleet_key)
             fleet = client if file.hosts_address else None
             if look and not await session.look():
                 return print_log_down(json)
--- a/src/beryljunction/cli/settings_output.py
+++ b/src/beryljunction/cli/settings_output.py
@@ -9,7 +9,7 @@
 from beryljunction.settings.changes import Accepted, Edit, Refused
 from beryljunction.settings.paths import Path, parse_path
 from beryljunction.settings.publishing import Lost, NotPublished, PublishAnswer, Unknown
-from beryljunction.settings.reader import Judged
+from beryljunction.settings.reader import AppliedRecord
 
 __all__ = [
     "EXIT_INVALID",
@@ -76,7 +76,7 @@
     return {"path": edit.path, "old": present.get(parse_path(edit.path)), "new": new}
 
 
-def judged_row(judged: Judged) -> dict[str, Any]:
+def judged_row(judged: AppliedRecord) -> dict[str, Any]:
     """Return a record of the log and its outcome as a JSON object."""
     outcome = type(judged.verdict).__name__.lower()
     row: dict[str, Any] = {"version": judged.offset, "change_id": judged.change_id}
@@ -92,7 +92,7 @@
     return row
 
 
-def judged_line(judged: Judged) -> str:
+def judged_line(judged: AppliedRecord) -> str:
     """Return a record of the log and its outcome as one line of text."""
     row = judged_row(judged)
     edits = [
--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/orders.py
@@ -10,7 +10,7 @@
 from beryljunction.engines.control import EngineControl, NoEngine, OrderFenced, OrderRefused
 from beryljunction.engines.peers import OrderPeers
 from beryljunction.engines.turns import TurnLog
-from beryljunction.settings.schema import FleetView
+from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.systems.recovery.orders import Hold, NeedSlot, Order, OrderSystem, wanted_of
 from beryljunction.systems.recovery.rollout import Go, RolloutLimits, RolloutSystem, Stay
 from beryljunction.systems.recovery.turns import EndTurn, RenewTurn, TakeTurn, TurnStep, TurnSystem
@@ -55,7 +55,7 @@
         self,
         endpoint_id: str,
         service: str,
-        view: Callable[[], FleetView],
+        view: Callable[[], ResolvedSettings],
         engine: EngineControl,
         peers: OrderPeers,
         gate: WorkGate,
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -18,7 +18,7 @@
 from beryljunction.entry.writers import KEY_HEADER, TICKET_HEADER, CallerWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, client_pool, wait_disconnect
-from beryljunction.settings import EntryFile, FleetView
+from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stops import Stoppable
 from beryljunction.streams import event_position
 from beryljunction.systems import MembershipSystem
@@ -54,7 +54,7 @@
     def __init__(
         self,
         file: EntryFile,
-        view: FleetView,
+        view: ResolvedSettings,
         endpoints: EndpointTable,
         tls: ssl.SSLContext | None = None,
     ) -> None:
@@ -94,7 +94,7 @@
         ]
         self.apply(view)
 
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.view = view
         self._router.view = view
--- a/src/beryljunction/entry/callers.py
+++ b/src/beryljunction/entry/callers.py
@@ -8,7 +8,7 @@
 import attrs
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.settings import AccountSettings, FleetView
+from beryljunction.settings import AccountSettings, ResolvedSettings
 
 __all__ = ["AccountIndex", "CallerRequest", "chat_request", "plain_request"]
 
@@ -73,7 +73,7 @@
         return name
 
 
-def chat_request(body: bytes, view: FleetView, account: str) -> CallerRequest | Refusal:
+def chat_request(body: bytes, view: ResolvedSettings, account: str) -> CallerRequest | Refusal:
     """Validate the body of a chat completion and return the request."""
     try:
         data = json.loads(body)
@@ -106,7 +106,7 @@
     path: str,
     body: bytes,
     headers: Iterable[tuple[bytes, bytes]],
-    view: FleetView,
+    view: ResolvedSettings,
     account: str,
 ) -> CallerRequest | Refusal:
     """Validate a call of a plain service; method, path, headers and body are forwarded."""
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -12,7 +12,7 @@
 from beryljunction.entry.tries import Tries
 from beryljunction.entry.writers import KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.settings import FleetView
+from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import (
     AttemptSystem,
     GiveUp,
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        view: FleetView,
+        view: ResolvedSettings,
         endpoints: EndpointTable,
         sidecars: SidecarClient,
         timeline: Timeline,
--- a/src/beryljunction/entry/uploads.py
+++ b/src/beryljunction/entry/uploads.py
@@ -5,7 +5,7 @@
 
 from beryljunction.outcomes import RefusalCode
 from beryljunction.servers import Receive, read_body
-from beryljunction.settings import FleetView
+from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import Upload, UploadSystem
 
 __all__ = ["UPLOAD_RETRY_S", "UploadReader"]
@@ -22,7 +22,7 @@
         view: Current settings.
     """
 
-    def __init__(self, view: FleetView) -> None:
+    def __init__(self, view: ResolvedSettings) -> None:
         self.view = view
         self._uploads = UploadSystem(view.limits.upload_bytes)
 
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_view.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.errors import SettingsError
-from beryljunction.settings import AccountSettings, Edit, FleetView, ServiceSettings
+from beryljunction.settings import AccountSettings, Edit, ResolvedSettings, ServiceSettings
 from beryljunction.settings.operating import Invalid, OperatorSession
 from beryljunction.stores import LogClient
 
@@ -28,10 +28,10 @@
 DEMO_ZONES = ("ahd-a", "ahd-b", "gnr-a", "vad-a")
 
 
-def demo_view() -> FleetView:
+def demo_view() -> ResolvedSettings:
     """Return the settings of the demo: two model services and a plain service."""
     digest = hashlib.sha256(DEMO_KEY.encode()).hexdigest()
-    return FleetView(
+    return ResolvedSettings(
         services={
             "reel-llm": ServiceSettings(models=("reel-llm",)),
             "drafter": ServiceSettings(models=("drafter",)),
@@ -41,7 +41,7 @@
     )
 
 
-def leaves_of_view(view: FleetView) -> dict[str, Any]:
+def leaves_of_view(view: ResolvedSettings) -> dict[str, Any]:
     """Return the paths and values of a view; values at their default are omitted, except `kind`."""
     groups: dict[str, Mapping[str, Any]] = {"service": view.services, "account": view.accounts}
     return {
--- a/src/beryljunction/local/files.py
+++ b/src/beryljunction/local/files.py
@@ -15,7 +15,7 @@
     demo_view,
     leaves_of_view,
 )
-from beryljunction.settings import EntryFile, FleetView, ProcessSettings, SidecarFile
+from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
 from beryljunction.settings.schema import OperatorFile
 from beryljunction.stores import HostRow
 
@@ -65,7 +65,9 @@
 class _FleetFileWriter:
     """Assigns ports, writes the process files and collects the rows of the host list."""
 
-    def __init__(self, directory: pathlib.Path, ports: Iterator[int], view: FleetView) -> None:
+    def __init__(
+        self, directory: pathlib.Path, ports: Iterator[int], view: ResolvedSettings
+    ) -> None:
         self._directory = directory
         self._ports = ports
         self._view = view
@@ -133,7 +135,7 @@
     directory: pathlib.Path,
     ports: Iterator[int],
     plan: FleetPlan,
-    view: FleetView | None = None,
+    view: ResolvedSettings | None = None,
 ) -> list[str]:
     """Write a file for each process and return the entries' addresses."""
     view = view if view is not None else demo_view()
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -18,7 +18,13 @@
 from beryljunction.local.standins import start_endpoint
 from beryljunction.node import Node
 from beryljunction.servers import Asgi, Server, bind
-from beryljunction.settings import EntryFile, FleetView, ProcessSettings, SidecarFile, TlsSettings
+from beryljunction.settings import (
+    EntryFile,
+    ProcessSettings,
+    ResolvedSettings,
+    SidecarFile,
+    TlsSettings,
+)
 from beryljunction.standins import (
     EngineStandIn,
     HostListStandIn,
@@ -56,7 +62,7 @@
     """
 
     def __init__(
-        self, group: anyio.abc.TaskGroup, view: FleetView, tls: TlsSettings | None = None
+        self, group: anyio.abc.TaskGroup, view: ResolvedSettings, tls: TlsSettings | None = None
     ) -> None:
         self._group = group
         self._tls = tls
@@ -80,7 +86,7 @@
             self.plain_services.append(app)
         process = await self._process_settings(f"host-{endpoint_id}", len(self.endpoints))
         file = SidecarFile(process, endpoint_id, service, f"http://{server.address}")
-        node = Node.sidecar(file, FleetView())
+        node = Node.sidecar(file, ResolvedSettings())
         row = await self._start(node, endpoint_id, service)
         local = self.endpoints[endpoint_id] = LocalEndpoint(row, app, server, node)
         return local
@@ -99,7 +105,7 @@
         """Start an entry and return its base URL."""
         number = len(self.entries)
         process = await self._process_settings(f"entry-{number}", number)
-        node = Node.entry(EntryFile(process), FleetView())
+        node = Node.entry(EntryFile(process), ResolvedSettings())
         row = await self._start(node)
         scheme = "http" if self._tls is None else "https"
         self.entries.append(f"{scheme}://{row.address}")
--- a/src/beryljunction/node/entry_role.py
+++ b/src/beryljunction/node/entry_role.py
@@ -9,7 +9,7 @@
 from beryljunction.entry import EntryApp
 from beryljunction.node.roles import LEAVING, NodeRole, RoleTools
 from beryljunction.operators import NodeStatus
-from beryljunction.settings import EntryFile, FleetView
+from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stores import HostRow
 from beryljunction.systems import ListedEndpoint
 from beryljunction.tables import EndpointTable
@@ -25,7 +25,7 @@
     name = "entry"
     is_mutual = False
 
-    def __init__(self, file: EntryFile, view: FleetView, tools: RoleTools) -> None:
+    def __init__(self, file: EntryFile, view: ResolvedSettings, tools: RoleTools) -> None:
         self.process = file.process
         self.endpoints = EndpointTable()
         self.app = self.part = self.entry = EntryApp(file, view, self.endpoints, tools.tls)
@@ -42,7 +42,7 @@
                 await anyio.sleep(_TICK_INTERVAL_S)
                 self.entry.membership.tick(time.monotonic())
 
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.entry.apply(view)
 
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -28,12 +28,12 @@
     SETTINGS_PATH,
     Alarms,
     EntryFile,
-    FleetView,
     FollowerSettings,
     HttpPeers,
     ProcessSettings,
+    ResolvedSettings,
     SettingsFollower,
-    SettingsReader,
+    SettingsState,
     SidecarFile,
     serve_settings,
 )
@@ -61,11 +61,11 @@
         process: ProcessSettings,
         kind: type[NodeRole],
         make_role: Callable[[RoleTools], NodeRole],
-        view: FleetView,
+        view: ResolvedSettings,
     ) -> None:
         self._tls = TlsContexts(process.tls, kind.is_mutual) if process.tls is not None else None
         self.metrics = Metrics(kind.name)
-        self.settings = SettingsReader(process.region)
+        self.settings = SettingsState(process.region)
         self.ended = anyio.Event()
         self._view = view
         self._leaving = False
@@ -87,13 +87,13 @@
         self._add_gauges()
 
     @classmethod
-    def entry(cls, file: EntryFile, view: FleetView) -> "Node":
+    def entry(cls, file: EntryFile, view: ResolvedSettings) -> "Node":
         """Return the process of an entry."""
         make = functools.partial(EntryRole, file, view)
         return cls(file.process, EntryRole, make, view)
 
     @classmethod
-    def sidecar(cls, file: SidecarFile, view: FleetView) -> "Node":
+    def sidecar(cls, file: SidecarFile, view: ResolvedSettings) -> "Node":
         """Return the process of a sidecar."""
         make = functools.partial(SidecarRole, file, view)
         return cls(file.process, SidecarRole, make, view)
@@ -225,7 +225,7 @@
         pace = FollowerSettings(retention_s=process.log_retention_s)
         return SettingsFollower(self.settings, self._log, self._apply, self._peers, pace)
 
-    def _apply(self, view: FleetView) -> None:
+    def _apply(self, view: ResolvedSettings) -> None:
         self._view = view
         self.role.apply(view)
         self.role.timeline.add("settings_applied", detail=f"version={view.version}")
--- a/src/beryljunction/node/roles.py
+++ b/src/beryljunction/node/roles.py
@@ -10,7 +10,7 @@
 
 from beryljunction.operators import NodeStatus
 from beryljunction.servers import Asgi
-from beryljunction.settings import FleetView, ProcessSettings
+from beryljunction.settings import ProcessSettings, ResolvedSettings
 from beryljunction.stops import Stoppable
 from beryljunction.stores import HostRow, LogClient
 from beryljunction.timeline import Timeline
@@ -63,7 +63,7 @@
         """Run the role's background tasks until cancelled."""
 
     @abc.abstractmethod
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
 
     @abc.abstractmethod
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -17,7 +17,7 @@
 from beryljunction.node.roles import LEAVING, NodeRole, RoleTools
 from beryljunction.operators import NodeStatus
 from beryljunction.servers import Receive, Scope, Send, client_pool
-from beryljunction.settings import FleetView, ServiceSettings, SidecarFile
+from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
 from beryljunction.sidecar.peers import PeerExchange
 from beryljunction.stores import HostRow
@@ -52,7 +52,7 @@
     name = "sidecar"
     is_mutual = True
 
-    def __init__(self, file: SidecarFile, view: FleetView, tools: RoleTools) -> None:
+    def __init__(self, file: SidecarFile, view: ResolvedSettings, tools: RoleTools) -> None:
         self.process = file.process
         self.file = file
         self._service = ServiceSettings()
@@ -82,7 +82,7 @@
             group.start_soon(self._run_orders)
             task_status.started()
 
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.sidecar.apply(self._with_service(view))
 
@@ -161,7 +161,7 @@
     async def _answer_orders(self, scope: Scope, receive: Receive, send: Send) -> None:
         await answer_orders(self.orders.hear, self.orders.row, receive, send)
 
-    def _with_service(self, view: FleetView) -> FleetView:
+    def _with_service(self, view: ResolvedSettings) -> ResolvedSettings:
         """Return a view that contains the endpoint's service, if need be with its last settings.
 
         The service is missing if an operator removed it by mistake or, at startup, if the log has
--- a/src/beryljunction/settings/__init__.py
+++ b/src/beryljunction/settings/__init__.py
@@ -22,17 +22,17 @@
 )
 from beryljunction.settings.paths import FLEET, Path, Scope, parse_path, parse_scope
 from beryljunction.settings.peers import SETTINGS_PATH, HttpPeers, serve_settings
-from beryljunction.settings.reader import Alarms, Judged, SettingsReader
+from beryljunction.settings.reader import Alarms, AppliedRecord, SettingsState
 from beryljunction.settings.resolving import Origin, Resolver, resolve
 from beryljunction.settings.rules import FieldRule, problem_of, rule_of
 from beryljunction.settings.schema import (
     AccountSettings,
     EntryFile,
-    FleetView,
     LimitSettings,
     OperatorFile,
     OperatorSettings,
     ProcessSettings,
+    ResolvedSettings,
     ServiceSettings,
     SidecarFile,
     TlsSettings,
@@ -60,8 +60,8 @@
     "Edit",
     "EntryFile",
     "FieldRule",
-    "FleetView",
-    "Judged",
+    "ResolvedSettings",
+    "AppliedRecord",
     "Leaf",
     "LimitSettings",
     "Match",
@@ -75,7 +75,7 @@
     "Resolver",
     "Scope",
     "ServiceSettings",
-    "SettingsReader",
+    "SettingsState",
     "SettingsTree",
     "SidecarFile",
     "Skipped",
--- a/src/beryljunction/settings/following.py
+++ b/src/beryljunction/settings/following.py
@@ -11,9 +11,9 @@
 import attrs
 
 from beryljunction.settings.changes import CHANGES_STREAM, SNAPSHOTS_STREAM
-from beryljunction.settings.reader import SettingsReader
-from beryljunction.settings.schema import FleetView
+from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.settings.snapshots import SnapshotSchedule
+from beryljunction.settings.state import SettingsState
 from beryljunction.stores.log import AppendRefused, LogClient, ReadFailed
 
 __all__ = ["FollowerSettings", "NoPeers", "PeerSource", "SettingsFollower"]
@@ -82,15 +82,15 @@
 
     def __init__(
         self,
-        reader: SettingsReader,
+        state: SettingsState,
         log: LogClient,
-        on_change: Callable[[FleetView], None],
+        on_change: Callable[[ResolvedSettings], None],
         peers: PeerSource | None = None,
         settings: FollowerSettings | None = None,
         now_s: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
     ) -> None:
-        self.reader = reader
+        self.state = state
         self.settings = settings if settings is not None else FollowerSettings()
         self._log = log
         self._on_change = on_change
@@ -111,26 +111,26 @@
             group.start_soon(self._poll_peers)
             while True:
                 pause_s = await self.step()
-                if not started and (self.reader.caught_up or self.reader.version > 0):
+                if not started and (self.state.caught_up or self.state.version > 0):
                     started = True
                     task_status.started()
                 await anyio.sleep(pause_s)
 
     async def step(self) -> float:
         """Read the log once and apply the result; return the pause before the next step."""
-        must_bootstrap = self.reader.version == 0 or self.reader.needs_snapshot
+        must_bootstrap = self.state.version == 0 or self.state.needs_snapshot
         if must_bootstrap and not await self._read_snapshots():
             return self._back_off()
         # After a failure don't wait: a log that accepts connections but does not respond blocks
         # each read for the wait plus the timeout.
         wait_s = 0.0 if self._failures else self.settings.poll_s
-        page = await self._log.read(CHANGES_STREAM, self.reader.version, _PAGE_RECORDS, wait_s)
+        page = await self._log.read(CHANGES_STREAM, self.state.version, _PAGE_RECORDS, wait_s)
         if isinstance(page, ReadFailed):
             return self._back_off()
         self._last_response_s = self._now_s()
-        if self.reader.take_page(page):
-            self._on_change(self.reader.view)
-        if self.reader.needs_snapshot:
+        if self.state.apply_page(page):
+            self._on_change(self.state.view)
+        if self.state.needs_snapshot:
             return self._back_off()
         self._failures = 0
         if not page.at_end:
@@ -150,16 +150,16 @@
         remaining_s = self._last_response_s + self._log_silence_s - start_s
         if not self._failures and remaining_s > 0.0:
             return max(_MIN_PAUSE_S, remaining_s)
-        data = await self._peers.exchange(self.reader.version)
+        data = await self._peers.exchange(self.state.version)
         if data is not None:
             self.apply_snapshot(data)
         return max(_MIN_PAUSE_S, self._peers.exchange_interval_s - (self._now_s() - start_s))
 
     def apply_snapshot(self, data: Any) -> bool:
         """Apply a snapshot from a peer or the log if it is newer; return whether it was."""
-        taken = self.reader.take_snapshot(data)
+        taken = self.state.apply_snapshot(data)
         if taken:
-            self._on_change(self.reader.view)
+            self._on_change(self.state.view)
         return taken
 
     @property
@@ -173,7 +173,7 @@
 
     def _back_off(self) -> float:
         """Return a backoff with jitter, so that a recovering log is not overloaded."""
-        self.reader.caught_up = False
+        self.state.caught_up = False
         self._failures += 1
         longest_s = min(self.settings.backoff_s, 0.1 * 2.0 ** min(self._failures, 10))
         return longest_s * (0.5 + 0.5 * self._rng.random())
@@ -207,11 +207,11 @@
             self._snapshot_offset = page.records[-1].offset
             self._schedule.restart(self._now_s())
             return
-        if self.reader.version == 0:
+        if self.state.version == 0:
             self._schedule.restart(self._now_s())
             return
-        data = self.reader.tree.to_data()
-        outcome = await self._log.append(SNAPSHOTS_STREAM, f"snapshot-{self.reader.version}", data)
+        data = self.state.tree.to_data()
+        outcome = await self._log.append(SNAPSHOTS_STREAM, f"snapshot-{self.state.version}", data)
         if isinstance(outcome, AppendRefused):
             self._schedule.schedule_retry(self._now_s())
         else:
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -24,7 +24,7 @@
     PublishSystem,
     ReadOn,
 )
-from beryljunction.settings.reader import Judged, SettingsReader
+from beryljunction.settings.state import AppliedRecord, SettingsState
 from beryljunction.settings.validating import problems_of, reads_of
 from beryljunction.stores.log import LogClient, ReadFailed
 
@@ -55,7 +55,7 @@
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
         rng: random.Random | None = None,
     ) -> None:
-        self.reader = SettingsReader("")
+        self.state = SettingsState("")
         self._log = log
         self._operator = operator
         self._key = key
@@ -64,7 +64,7 @@
         self._rng = rng if rng is not None else random.Random()
         settings = FollowerSettings(poll_s=0.0, publishes=False)
         self._follower = SettingsFollower(
-            self.reader, log, lambda view: None, peers, settings, now_s, self._rng
+            self.state, log, lambda view: None, peers, settings, now_s, self._rng
         )
 
     async def look(self) -> bool:
@@ -72,7 +72,7 @@
         end_s = self._now_s() + _LOOK_TIMEOUT_S
         while self._now_s() < end_s:
             pause_s = await self._follower.step()
-            if self.reader.caught_up:
+            if self.state.caught_up:
                 return True
             await self._sleep(pause_s)
         return False
@@ -92,7 +92,7 @@
         Raises:
             ValueError: When nothing is set there.
         """
-        values = self.reader.tree.values()
+        values = self.state.tree.values()
         if _is_scope(text):
             scope = parse_scope(text)
             paths = [path for path in values if scope.contains(path.scope)]
@@ -108,15 +108,15 @@
         A tree may hold values that only a newer program version knows. They must not block every
         other change.
         """
-        before = problems_of(self.reader.tree)
-        after = problems_of(self.reader.tree.preview(edits))
+        before = problems_of(self.state.tree)
+        after = problems_of(self.state.tree.preview(edits))
         problems = [problem for problem in after if problem not in before]
         if not self._key_matches():
             problems.append(f"operator.{self._operator}: expected the key of this operator")
         problems += [
             f"{edit.path}: operator {self._operator!r} may not change it"
             for edit in edits
-            if not self.reader.tree.may_change(self._operator, parse_path(edit.path).scope)
+            if not self.state.tree.may_change(self._operator, parse_path(edit.path).scope)
         ]
         return Invalid(tuple(problems)) if problems else None
 
@@ -129,7 +129,7 @@
             return invalid
         change = Change(
             change_id=change_id if change_id is not None else uuid.uuid4().hex,
-            base=self.reader.version,
+            base=self.state.version,
             operator=self._operator,
             edits=edits,
             reads=reads_of(edits),
@@ -148,24 +148,24 @@
             else:
                 return step
 
-    def find(self, change_id: str) -> Judged | None:
+    def find(self, change_id: str) -> AppliedRecord | None:
         """Return the first record with an id that :meth:`replay` or :meth:`look` has read.
 
         A second copy of an accepted change is refused because of the first; the first one counts.
         """
-        found = [judged for judged in self.reader.history if judged.change_id == change_id]
+        found = [applied for applied in self.state.history if applied.change_id == change_id]
         return found[0] if found else None
 
     async def _read_new_records(self, system: PublishSystem) -> None:
-        page = await self._log.read(CHANGES_STREAM, self.reader.version, _PAGE_RECORDS)
+        page = await self._log.read(CHANGES_STREAM, self.state.version, _PAGE_RECORDS)
         if isinstance(page, ReadFailed):
             return
-        previous_version = self.reader.version
-        self.reader.take_page(page)
-        for judged in self.reader.history:
-            if judged.offset > previous_version:
-                system.take_judged(judged)
-        if self.reader.caught_up:
+        previous_version = self.state.version
+        self.state.apply_page(page)
+        for applied in self.state.history:
+            if applied.offset > previous_version:
+                system.take_judged(applied)
+        if self.state.caught_up:
             system.take_end()
 
     async def _apply_oldest_snapshot(self, first_offset: int) -> None:
@@ -178,12 +178,12 @@
             record = page.records[0]
             after = record.offset
             if record.data.get("version", 0) + 1 >= first_offset:
-                self.reader.take_snapshot(record.data)
+                self.state.apply_snapshot(record.data)
                 return
 
     def _key_matches(self) -> bool:
         path = Path(Scope(operator=self._operator), "key_sha256")
-        expected = self.reader.tree.value(path)
+        expected = self.state.tree.value(path)
         if expected is None:
             return True
         digest = hashlib.sha256(self._key.encode()).hexdigest()
--- a/src/beryljunction/settings/peers.py
+++ b/src/beryljunction/settings/peers.py
@@ -11,8 +11,8 @@
 
 from beryljunction.servers import Receive, Scope, Send, read_body, respond
 from beryljunction.settings.following import PeerSource
-from beryljunction.settings.reader import SettingsReader
 from beryljunction.settings.rotation import PeerRotation
+from beryljunction.settings.state import SettingsState
 from beryljunction.wire import FLEET_KEY_HEADER
 
 __all__ = ["SETTINGS_PATH", "HttpPeers", "serve_settings"]
@@ -27,7 +27,7 @@
 
 
 async def serve_settings(
-    reader: SettingsReader,
+    state: SettingsState,
     apply_snapshot: Callable[[Any], object],
     scope: Scope,
     receive: Receive,
@@ -44,9 +44,9 @@
         return
     fields = parse_qs(scope["query_string"].decode("latin-1"))
     after = int(fields.get("after", ["0"])[0])
-    headers = [(_VERSION_HEADER, f"{reader.version} {reader.digest}".encode())]
-    if reader.version > after:
-        await respond(send, 200, json.dumps(reader.tree.to_data()).encode(), headers)
+    headers = [(_VERSION_HEADER, f"{state.version} {state.digest}".encode())]
+    if state.version > after:
+        await respond(send, 200, json.dumps(state.tree.to_data()).encode(), headers)
     else:
         await send({"type": "http.response.start", "status": 204, "headers": headers})
         await send({"type": "http.response.body"})
@@ -71,7 +71,7 @@
     def __init__(
         self,
         addresses: Callable[[], Sequence[str]],
-        reader: SettingsReader,
+        state: SettingsState,
         pool: httpcore.AsyncConnectionPool,
         fleet_key: str,
         own: Callable[[], str] = str,
@@ -79,7 +79,7 @@
     ) -> None:
         self._addresses = addresses
         self._own = own
-        self._reader = reader
+        self._state = state
         self._pool = pool
         self._fleet_key = fleet_key.encode()
         self._rotation = PeerRotation(rng if rng is not None else random.Random())
@@ -103,9 +103,9 @@
         response = await self._fetch(address, version)
         if response is None:
             return None
-        if (_version_of(response) or 0) < self._reader.version:
+        if (_version_of(response) or 0) < self._state.version:
             # Push the tree: this process may be the only one with it, and peers don't poll entries.
-            await self._request("PUT", address, "", json.dumps(self._reader.tree.to_data()))
+            await self._request("PUT", address, "", json.dumps(self._state.tree.to_data()))
         if response.status != 200:
             return None
         try:
@@ -133,7 +133,7 @@
         peer_version = _version_of(response) if response is not None else None
         if response is None or peer_version is None:
             return None
-        self._reader.check_peer(peer_version, _version_and_digest(response)[1])
+        self._state.check_peer_digest(peer_version, _version_and_digest(response)[1])
         return response
 
     async def _request(
--- a/src/beryljunction/settings/publishing.py
+++ b/src/beryljunction/settings/publishing.py
@@ -5,7 +5,7 @@
 import attrs
 
 from beryljunction.settings.changes import Accepted, Change, Refused
-from beryljunction.settings.reader import Judged
+from beryljunction.settings.reader import AppliedRecord
 from beryljunction.stores.log import Appended, AppendOutcome, AppendRefused
 
 __all__ = [
@@ -108,14 +108,14 @@
             self._may_be_on_log = True
             self._has_read_to_end = False
 
-    def take_judged(self, judged: Judged) -> None:
+    def take_judged(self, applied: AppliedRecord) -> None:
         """Process a record that the reader applied; the first one with this id decides."""
-        if judged.change_id != self.change.change_id or self._outcome is not None:
+        if applied.change_id != self.change.change_id or self._outcome is not None:
             return
-        if isinstance(judged.verdict, Accepted):
-            self._outcome = InForce(judged.change_id, judged.verdict.version)
-        elif isinstance(judged.verdict, Refused):
-            self._outcome = self._outcome_of_refusal(judged.verdict)
+        if isinstance(applied.verdict, Accepted):
+            self._outcome = InForce(applied.change_id, applied.verdict.version)
+        elif isinstance(applied.verdict, Refused):
+            self._outcome = self._outcome_of_refusal(applied.verdict)
 
     def take_end(self) -> None:
         """Note that the reader has reached the end of the log."""
--- a/src/beryljunction/settings/reader.py
+++ b/src/beryljunction/settings/reader.py
@@ -11,11 +11,11 @@
 
 from beryljunction.settings.changes import Accepted, Change, Skipped, Verdict
 from beryljunction.settings.resolving import resolve
-from beryljunction.settings.schema import FleetView
+from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.settings.tree import SettingsTree
 from beryljunction.stores.log import LogPage
 
-__all__ = ["Alarms", "Judged", "SettingsReader"]
+__all__ = ["Alarms", "AppliedRecord", "SettingsState"]
 
 _MAX_HISTORY = 512
 
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Judged:
+class AppliedRecord:
     """A record that was applied, and the verdict on it."""
 
     offset: int
@@ -50,7 +50,7 @@
     verdict: Verdict
 
 
-class SettingsReader:
+class SettingsState:
     """The settings in force in one process.
 
     Attributes:
@@ -65,11 +65,11 @@
     def __init__(self, region: str) -> None:
         self.region = region
         self.tree = SettingsTree()
-        self.view = FleetView()
+        self.view = ResolvedSettings()
         self.needs_snapshot = False
         self.caught_up = False
         self.alarms = Alarms()
-        self.history: collections.deque[Judged] = collections.deque(maxlen=_MAX_HISTORY)
+        self.history: collections.deque[AppliedRecord] = collections.deque(maxlen=_MAX_HISTORY)
         self._digest = (0, "")
 
     @property
@@ -84,7 +84,7 @@
             self._digest = (self.version, self.tree.digest())
         return self._digest[1]
 
-    def take_page(self, page: LogPage) -> bool:
+    def apply_page(self, page: LogPage) -> bool:
         """Apply the records that follow the current version; return whether the settings changed.
 
         A page may be late, repeated or overlap with an earlier one; records that are not newer are
@@ -114,7 +114,7 @@
             self.view = attrs.evolve(self.view, version=self.version)
         return accepted
 
-    def take_snapshot(self, data: Any) -> bool:
+    def apply_snapshot(self, data: Any) -> bool:
         """Replace the tree by a snapshot if that is newer; return whether it was.
 
         The snapshot comes from the log or a peer. A process needs it when it starts or was paused
@@ -133,7 +133,7 @@
         self._resolve()
         return True
 
-    def check_peer(self, version: int, digest: str) -> None:
+    def check_peer_digest(self, version: int, digest: str) -> None:
         """Count a fork when a peer has a different tree at the same version."""
         if version == self.version and digest != self.digest:
             self.alarms.forks += 1
@@ -150,7 +150,7 @@
             self.alarms.poison_records += 1
         else:
             change = Change.from_data(change_id, data)
-        self.history.append(Judged(offset, change_id, change, verdict))
+        self.history.append(AppliedRecord(offset, change_id, change, verdict))
 
     def _resolve(self) -> None:
         self.view, unusable = resolve(self.tree, self.region)
--- a/src/beryljunction/settings/resolving.py
+++ b/src/beryljunction/settings/resolving.py
@@ -14,8 +14,8 @@
 from beryljunction.settings.rules import problem_of, rule_of
 from beryljunction.settings.schema import (
     AccountSettings,
-    FleetView,
     LimitSettings,
+    ResolvedSettings,
     ServiceSettings,
     WeightSettings,
 )
@@ -44,7 +44,7 @@
     def __init__(self, tree: SettingsTree, region: str) -> None:
         self._region = region
         self._by_field: dict[str, dict[Scope, Any]] = {}
-        self.unusable: list[str] = []
+        self.unusable_problems: list[str] = []
         for path, value in tree.values().items():
             if path.scope.operator or path.scope.region not in ("", region):
                 continue
@@ -104,15 +104,15 @@
         if problem is None:
             self._by_field.setdefault(path.field, {})[path.scope] = value
         elif rule_of(path) is not None:
-            self.unusable.append(problem)
+            self.unusable_problems.append(problem)
 
 
-def resolve(tree: SettingsTree, region: str) -> tuple[FleetView, list[str]]:
+def resolve(tree: SettingsTree, region: str) -> tuple[ResolvedSettings, list[str]]:
     """Return the settings of a region, and the problems of values that can't be used."""
     resolver = Resolver(tree, region)
     services = {s: resolver.build(ServiceSettings, service=s) for s in resolver.services()}
     accounts = {a: resolver.build(AccountSettings, account=a) for a in resolver.accounts()}
-    view = FleetView(
+    view = ResolvedSettings(
         version=tree.version,
         services=services,
         accounts=accounts,
@@ -123,7 +123,7 @@
             for account, service in resolver.account_services()
         },
     )
-    return view, resolver.unusable
+    return view, resolver.unusable_problems
 
 
 def _matching_scopes(region: str, account: str, service: str) -> Iterator[Scope]:
--- a/src/beryljunction/settings/schema.py
+++ b/src/beryljunction/settings/schema.py
@@ -9,7 +9,7 @@
 __all__ = [
     "AccountSettings",
     "EntryFile",
-    "FleetView",
+    "ResolvedSettings",
     "LimitSettings",
     "OperatorFile",
     "OperatorSettings",
@@ -71,7 +71,7 @@
     """
 
     process: ProcessSettings
-    fleet: "FleetView | None" = None
+    fleet: "ResolvedSettings | None" = None
 
 
 @attrs.frozen
@@ -88,7 +88,7 @@
     endpoint_id: str
     service: str
     endpoint_address: str
-    fleet: "FleetView | None" = None
+    fleet: "ResolvedSettings | None" = None
 
 
 @attrs.frozen
@@ -229,7 +229,7 @@
 
 
 @attrs.frozen
-class FleetView:
+class ResolvedSettings:
     """The resolved and validated settings of one version, as a process uses them."""
 
     version: int = 0
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -13,7 +13,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, client_pool, read_body
-from beryljunction.settings import FleetView, SidecarFile
+from beryljunction.settings import ResolvedSettings, SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
 from beryljunction.sidecar.control import ControlRoutes
 from beryljunction.sidecar.handover import hand_pointers_over, heirs_of
@@ -62,7 +62,7 @@
     def __init__(
         self,
         file: SidecarFile,
-        view: FleetView,
+        view: ResolvedSettings,
         routes: Mapping[str, Handler] | None = None,
         members: EndpointTable | None = None,
         tls: ssl.SSLContext | None = None,
@@ -96,7 +96,7 @@
         }
         self._apply_handover_limits()
 
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.view = view
         self.keeper.apply(view)
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -9,7 +9,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import client_pool
-from beryljunction.settings import FleetView, ServiceSettings, SidecarFile
+from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar.endpoint import EndpointClient
 from beryljunction.sidecar.kv import KvClient
 from beryljunction.sidecar.ledger import RunLedger
@@ -73,7 +73,7 @@
     """
 
     def __init__(
-        self, file: SidecarFile, view: FleetView, incarnation: str, timeline: Timeline
+        self, file: SidecarFile, view: ResolvedSettings, incarnation: str, timeline: Timeline
     ) -> None:
         start = (file.endpoint_id, incarnation, boot_time_s())
         self.tickets = TicketLedger(TicketMint(file.process.fleet_key.encode()), *start)
@@ -97,7 +97,7 @@
         self._group: anyio.abc.TaskGroup | None = None
         self.apply(view)
 
-    def apply(self, view: FleetView) -> None:
+    def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self._view = view
         service = self.service
--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from beryljunction.settings.schema import FleetView
+from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.tables.orders import EngineState, Wanted
 
 __all__ = ["Hold", "NeedSlot", "Order", "OrderStep", "OrderSystem", "wanted_of"]
@@ -49,7 +49,7 @@
 OrderStep = Order | NeedSlot | Hold
 
 
-def wanted_of(view: FleetView, service: str) -> Wanted:
+def wanted_of(view: ResolvedSettings, service: str) -> Wanted:
     """Return what the settings want the engines of a service to hold."""
     settings = view.services[service]
     models = dict.fromkeys(settings.models, settings.model_version)
--- a/testing/path_fakes.py
+++ b/testing/path_fakes.py
@@ -12,9 +12,9 @@
 from beryljunction.settings import (
     AccountSettings,
     EntryFile,
-    FleetView,
     LimitSettings,
     ProcessSettings,
+    ResolvedSettings,
     ServiceSettings,
     SidecarFile,
 )
@@ -31,11 +31,11 @@
 PROCESS = ProcessSettings("host", "gj-west", "ahd-a", FREE_PORT, FREE_PORT, FLEET_KEY, "", "")
 
 
-def view_with(*, limits: LimitSettings | None = None, **service) -> FleetView:
+def view_with(*, limits: LimitSettings | None = None, **service) -> ResolvedSettings:
     """Return settings with short timeouts; keyword arguments change both services."""
     times = {"heartbeat_s": 0.1, "silence_s": 0.6, "engine_silence_s": 0.6, "resume_s": 5.0}
     times |= service
-    return FleetView(
+    return ResolvedSettings(
         services={
             "drafter": ServiceSettings(models=("drafter",), **times),
             "ledger": ServiceSettings(kind="plain", **{"idempotent": False, **times}),
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -2,7 +2,7 @@
 
 from beryljunction.settings import (
     Read,
-    SettingsReader,
+    SettingsState,
     SettingsTree,
 )
 from beryljunction.settings.publishing import PublishSystem
@@ -11,27 +11,27 @@
 
 
 def without_gap_check(monkeypatch):
-    def take_page(reader, page):
+    def apply_page(state, page):
         for record in page.records:
-            if record.offset > reader.version:
-                reader.tree.apply(record)
-        reader.caught_up = page.at_end
-        reader._resolve()
+            if record.offset > state.version:
+                state.tree.apply(record)
+        state.caught_up = page.at_end
+        state._resolve()
         return True
 
-    monkeypatch.setattr(SettingsReader, "take_page", take_page)
+    monkeypatch.setattr(SettingsState, "apply_page", apply_page)
 
 
 def without_version_check(monkeypatch):
-    def take_snapshot(reader, data):
-        reader.tree = SettingsTree.from_data(data)
-        reader._resolve()
+    def apply_snapshot(state, data):
+        state.tree = SettingsTree.from_data(data)
+        state._resolve()
         return True
 
     async def exchange(peers, version):
-        return peers.world.nodes[peers.world.random.choice(NODES)].reader.tree.to_data()
+        return peers.world.nodes[peers.world.random.choice(NODES)].state.tree.to_data()
 
-    monkeypatch.setattr(SettingsReader, "take_snapshot", take_snapshot)
+    monkeypatch.setattr(SettingsState, "apply_snapshot", apply_snapshot)
     monkeypatch.setattr(Peers, "exchange", exchange)
 
 
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -23,7 +23,7 @@
     PeerSource,
     Read,
     SettingsFollower,
-    SettingsReader,
+    SettingsState,
     parse_path,
 )
 from beryljunction.settings.operating import Invalid, OperatorSession
@@ -106,7 +106,7 @@
 
     name: str
     owner: str
-    reader: SettingsReader
+    state: SettingsState
     follower: SettingsFollower | None = None
     highest: int = 0
     log_cut: bool = False
@@ -159,10 +159,10 @@
         if self.node.peers_cut or other.peers_cut or other.owner in self.world.scheduler.paused:
             await sleep(0.5)
             return None
-        data = other.reader.tree.to_data() if other.reader.version > version else None
+        data = other.state.tree.to_data() if other.state.version > version else None
         await sleep(self.world.random.uniform(0.005, 0.5))
-        if other.reader.version < version:
-            other.follower.apply_snapshot(self.node.reader.tree.to_data())
+        if other.state.version < version:
+            other.follower.apply_snapshot(self.node.state.tree.to_data())
         return data
 
 
@@ -243,12 +243,12 @@
 
     def start(self, name):
         self.starts += 1
-        node = Node(name, f"{name}#{self.starts}", SettingsReader("gj-west"))
+        node = Node(name, f"{name}#{self.starts}", SettingsState("gj-west"))
         self.nodes[name] = node
         clock = lambda: self.scheduler.now_s  # noqa: E731
         rng = random.Random(self.starts)
         follower = SettingsFollower(
-            node.reader, Log(self, node), lambda view: None, Peers(self, node), FOLLOW, clock, rng
+            node.state, Log(self, node), lambda view: None, Peers(self, node), FOLLOW, clock, rng
         )
         node.follower = follower
         for step in (follower.step, follower.poll_peer):
@@ -258,7 +258,7 @@
             runner = OrderRunner(
                 name,
                 "drafter",
-                lambda: node.reader.view,
+                lambda: node.state.view,
                 self.controls[name],
                 Runners(self, name),
                 OpenGate(),
@@ -291,23 +291,23 @@
     def check_nodes(self):
         """Check that no version decreases, and each tree equals the oracle's at its version."""
         for node in [*self.nodes.values(), *self.zombies]:
-            version = node.reader.version
+            version = node.state.version
             assert version >= node.highest, f"version of {node.name} decreased"
             if version == node.highest:
                 continue
             node.highest = version
-            values = {str(p): v for p, v in node.reader.tree.values().items()}
+            values = {str(p): v for p, v in node.state.tree.values().items()}
             assert (
                 values == self.oracle.values_at[version]
             ), f"tree of {node.name} differs from the oracle at version {version}"
-            assert node.reader.view.version == version
+            assert node.state.view.version == version
 
     def check_in_force(self):
         """Check that a change appended without faults is in force everywhere within 9 s."""
         now_s = self.scheduler.now_s
         for appended_s, record in self.records:
             if appended_s > self.last_fault_s + AGREE_S and appended_s + IN_FORCE_S <= now_s:
-                assert all(n.reader.version >= record.offset for n in self.nodes.values())
+                assert all(n.state.version >= record.offset for n in self.nodes.values())
 
     def check_answers(self):
         for answer in self.answers:
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -12,7 +12,7 @@
     Edit,
     HttpPeers,
     SettingsFollower,
-    SettingsReader,
+    SettingsState,
 )
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.stores import LogClient, LogPage, LogRecord, ReadFailed
@@ -55,13 +55,13 @@
         await sleep(self.rng.uniform(0.001, 0.01))
         address, _, query = url.removeprefix("http://").partition("/")
         follower = self.followers[address]
-        reader = follower.reader
-        head = [(b"beryl-settings", f"{reader.version} {reader.digest}".encode())]
+        state = follower.state
+        head = [(b"beryl-settings", f"{state.version} {state.digest}".encode())]
         status, body = 204, b""
         if method == "PUT":
             follower.apply_snapshot(json.loads(content))
-        elif reader.version > int(query.partition("after=")[2]):
-            status, body = 200, json.dumps(reader.tree.to_data()).encode()
+        elif state.version > int(query.partition("after=")[2]):
+            status, body = 200, json.dumps(state.tree.to_data()).encode()
         await sleep(self.rng.uniform(0.001, 0.01))
         response = httpcore.Response(status, headers=head, content=body)
         await response.aread()
@@ -80,11 +80,11 @@
             self.add(name, name if name in self.sidecars else "")
 
     def add(self, name, own):
-        reader = SettingsReader("gj-west")
+        state = SettingsState("gj-west")
         rng = random.Random(self.rng.random())
-        peers = HttpPeers(lambda: self.sidecars, reader, self.pool, "key", lambda: own, rng)
+        peers = HttpPeers(lambda: self.sidecars, state, self.pool, "key", lambda: own, rng)
         clock = lambda: self.scheduler.now_s  # noqa: E731
-        follower = SettingsFollower(reader, self.log, lambda _: None, peers, None, clock, rng)
+        follower = SettingsFollower(state, self.log, lambda _: None, peers, None, clock, rng)
         self.followers[name] = follower
         for step in (follower.step, follower.poll_peer):
             self.scheduler.start(self.loop(step), at_s=self.rng.random())
@@ -98,8 +98,8 @@
         self.scheduler.run(5.0 + self.rng.random())
         self.log.is_down = True
         began_s = self.scheduler.now_s
-        self.followers[first].reader.take_page(page(2))
-        while any(follower.reader.version < 2 for follower in self.followers.values()):
+        self.followers[first].state.apply_page(page(2))
+        while any(follower.state.version < 2 for follower in self.followers.values()):
             self.scheduler.run(0.05)
             assert self.scheduler.now_s < began_s + 60.0, "expected agreement within a minute"
         return self.scheduler.now_s - began_s
--- a/testing/test_fuzz_records.py
+++ b/testing/test_fuzz_records.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from beryljunction.settings import SettingsReader
+from beryljunction.settings import SettingsState
 from beryljunction.stores import LogPage, LogRecord
 
 SCALARS = st.none() | st.booleans() | st.integers(-5, 5) | st.floats() | st.text(max_size=5)
@@ -38,12 +38,12 @@
     @settings(max_examples=150, derandomize=True, deadline=None, database=None)
     @given(st.lists(CHANGES | JSON, max_size=4), SNAPSHOTS | JSON)
     def test_no_record_stops_a_reader_and_all_readers_judge_alike(self, changes, snapshot):
-        readers = [SettingsReader("gj-west"), SettingsReader("gj-west")]
+        states = [SettingsState("gj-west"), SettingsState("gj-west")]
         records = tuple(LogRecord(i, str(i), data) for i, data in enumerate(changes, start=1))
 
-        for reader in readers:
-            reader.take_page(LogPage(records, 1, len(records) + 1))
-            reader.take_snapshot(snapshot)
+        for state in states:
+            state.apply_page(LogPage(records, 1, len(records) + 1))
+            state.apply_snapshot(snapshot)
 
-        assert readers[0].version >= len(records)
-        assert readers[0].digest == readers[1].digest
+        assert states[0].version >= len(records)
+        assert states[0].digest == states[1].digest
--- a/testing/test_fuzz_settings.py
+++ b/testing/test_fuzz_settings.py
@@ -219,7 +219,7 @@
         self.heal(log_stays_down=False)
         self.agree()
         world.scheduler.run(LOADED_S, world.check_nodes)
-        assert {n.reader.version for n in world.live_nodes()} == {len(world.records)}
+        assert {n.state.version for n in world.live_nodes()} == {len(world.records)}
         world.check_in_force()
         world.check_answers()
         self.check_engines()
@@ -243,9 +243,9 @@
         world = self.world
         known = len(world.records)
         if world.log.down:
-            known = max(node.reader.version for node in world.live_nodes())
+            known = max(node.state.version for node in world.live_nodes())
         world.scheduler.run(AGREE_S, world.check_nodes)
-        reached = [node.reader.version for node in world.live_nodes()]
+        reached = [node.state.version for node in world.live_nodes()]
         assert min(reached) >= known, f"{known} was known 5 s ago, reached: {reached}"
 
     def heal(self, log_stays_down):
@@ -270,8 +270,8 @@
     def check_alarms(self):
         poison = sum(record.record_id == "poison" for _, record in self.world.records)
         for node in self.world.live_nodes():
-            assert node.reader.alarms.forks == 0
-            assert node.reader.alarms.poison_records <= poison
+            assert node.state.alarms.forks == 0
+            assert node.state.alarms.poison_records <= poison
 
 
 def run_histories(examples, phases=(Phase.generate, Phase.shrink)):
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -21,7 +21,13 @@
 from beryljunction.local import DEMO_KEY, FleetPlan, StandInsFile, demo_view, write_files
 from beryljunction.node import EntryRole, HostFollower, HostView, RoleTools, SidecarRole
 from beryljunction.servers import client_pool
-from beryljunction.settings import EntryFile, FleetView, ProcessSettings, SidecarFile, load_file
+from beryljunction.settings import (
+    EntryFile,
+    ProcessSettings,
+    ResolvedSettings,
+    SidecarFile,
+    load_file,
+)
 from beryljunction.stores import HostChanges, HostList, HostRow
 from beryljunction.tables import EndpointState
 from beryljunction.timeline import Timeline
@@ -290,7 +296,7 @@
     def entry(self):
         process = ProcessSettings("e", "gj-west", "ahd-a", "", "", "key", "", "")
         tools = RoleTools(None, None, None, lambda: 0, lambda name, version: None)
-        return EntryRole(EntryFile(process), FleetView(), tools)
+        return EntryRole(EntryFile(process), ResolvedSettings(), tools)
 
     def test_leaving_endpoint_is_live_again_when_its_host_was_replaced(self):
         role = self.entry()
@@ -318,7 +324,7 @@
         file = SidecarFile(process, "drafter-0", "drafter", "http://127.0.0.1:1")
         pool = client_pool()
         tools = RoleTools(None, pool, pool, lambda: 0, lambda name, version: None)
-        return SidecarRole(file, FleetView(), tools)
+        return SidecarRole(file, ResolvedSettings(), tools)
 
     def test_drains_while_the_list_marks_it_as_leaving(self):
         role = self.sidecar()
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -15,7 +15,7 @@
 from beryljunction.errors import StartError
 from beryljunction.node import Node
 from beryljunction.servers import Server, bind, client_pool
-from beryljunction.settings import EntryFile, FleetView, ProcessSettings, TlsSettings
+from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, TlsSettings
 from beryljunction.standins import HostListStandIn
 from beryljunction.stores import HostRow
 from beryljunction.tls import client_context
@@ -38,7 +38,7 @@
 
 @contextlib.asynccontextmanager
 async def node_of(process):
-    node = Node.entry(EntryFile(process), FleetView())
+    node = Node.entry(EntryFile(process), ResolvedSettings())
     async with anyio.create_task_group() as group:
         await group.start(node.run)
         yield node
@@ -102,7 +102,7 @@
     )
     def test_insecure_settings_are_rejected_at_startup(self, changes, problem):
         with pytest.raises(StartError, match=problem):
-            Node.entry(EntryFile(attrs.evolve(PROCESS, **changes)), FleetView())
+            Node.entry(EntryFile(attrs.evolve(PROCESS, **changes)), ResolvedSettings())
 
 
 class TestOperatorTls:
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -17,7 +17,7 @@
     WorkGate,
 )
 from beryljunction.servers import Server, bind, client_pool
-from beryljunction.settings import FleetView, ServiceSettings, WeightSettings
+from beryljunction.settings import ResolvedSettings, ServiceSettings, WeightSettings
 from beryljunction.standins import (
     EngineOrdersModel,
     LogModel,
@@ -41,7 +41,7 @@
         adapters=adapters,
     )
     weights = WeightSettings(parallel_loads=parallel_loads)
-    return FleetView(version=version, services={"drafter": service}, weights=weights)
+    return ResolvedSettings(version=version, services={"drafter": service}, weights=weights)
 
 
 class Engine(EngineControl):
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -13,7 +13,7 @@
     CHANGES_STREAM,
     Change,
     Edit,
-    SettingsReader,
+    SettingsState,
     serve_settings,
 )
 from beryljunction.settings.operating import Invalid, OperatorSession
@@ -91,8 +91,8 @@
 
         answer = run_coroutine(factory.synced_session().publish(DRAFTER))
 
-        reader = factory.synced_session().reader
-        accepted = [j for j in reader.history if type(j.verdict).__name__ == "Accepted"]
+        state = factory.synced_session().state
+        accepted = [j for j in state.history if type(j.verdict).__name__ == "Accepted"]
         assert isinstance(answer, InForce)
         assert [j.offset for j in accepted] == [answer.version]
 
@@ -143,7 +143,7 @@
 
         run_coroutine(session.publish(session.unset_edits("service.drafter")))
 
-        assert factory.synced_session().reader.tree.values() == {}
+        assert factory.synced_session().state.tree.values() == {}
 
 
 class TestPublishSystem:
@@ -180,12 +180,12 @@
     def __init__(self):
         super().__init__(daemon=True)
         self.log = LogStandIn()
-        self.reader = SettingsReader("gj-west")
+        self.state = SettingsState("gj-west")
 
         async def node(scope, receive, send):
-            page = self.log.model.read(CHANGES_STREAM, self.reader.version, 500, 0.0)
-            self.reader.take_page(page)
-            await serve_settings(self.reader, self.reader.take_snapshot, scope, receive, send)
+            page = self.log.model.read(CHANGES_STREAM, self.state.version, 500, 0.0)
+            self.state.apply_page(page)
+            await serve_settings(self.state, self.state.apply_snapshot, scope, receive, send)
 
         self.hosts = HostListStandIn()
         apps = (self.log, node, self.hosts)
@@ -310,9 +310,9 @@
 
 
 def test_record_of_a_newer_program_version_does_not_break_the_reader():
-    reader = SettingsReader("")
+    state = SettingsState("")
     newer = Change("c", 0, "asha", (Edit("service.drafter.new_field", {"a": 1}),))
 
-    reader.tree.apply(LogRecord(1, "c", {**newer.to_data(), "later_addition": 1}))
+    state.tree.apply(LogRecord(1, "c", {**newer.to_data(), "later_addition": 1}))
 
-    assert reader.version == 1
+    assert state.version == 1
--- a/testing/test_reader.py
+++ b/testing/test_reader.py
@@ -13,7 +13,7 @@
     HttpPeers,
     PeerSource,
     SettingsFollower,
-    SettingsReader,
+    SettingsState,
     serve_settings,
 )
 from beryljunction.settings.snapshots import SnapshotSchedule
@@ -41,7 +41,7 @@
     def follower(self, peer=None, seed=0):
         peers = Peer(peer) if peer is not None else None
         return SettingsFollower(
-            SettingsReader("gj-west"),
+            SettingsState("gj-west"),
             self.client,
             lambda view: None,
             peers,
@@ -58,58 +58,58 @@
 
 
 class Peer(PeerSource):
-    def __init__(self, reader):
-        self.reader = reader
+    def __init__(self, state):
+        self.state = state
 
     exchange_interval_s = 1.0
 
     async def exchange(self, version):
-        return self.reader.tree.to_data() if self.reader.version > version else None
+        return self.state.tree.to_data() if self.state.version > version else None
 
 
-class TestSettingsReader:
+class TestSettingsState:
     def test_late_repeated_or_overlapping_pages_have_no_effect(self):
-        reader = SettingsReader("gj-west")
+        state = SettingsState("gj-west")
         records = tuple(LogRecord(i, f"c{i}", change(i, i - 1)) for i in (1, 2, 3))
 
         for page in (records, records[:2], records[1:]):
-            reader.take_page(LogPage(page, 1, 4))
+            state.apply_page(LogPage(page, 1, 4))
 
-        assert reader.version == 3
-        assert reader.tree.values() == dict.fromkeys(reader.tree.values(), 3.0)
+        assert state.version == 3
+        assert state.tree.values() == dict.fromkeys(state.tree.values(), 3.0)
 
     def test_no_records_are_applied_across_a_gap(self):
-        reader = SettingsReader("gj-west")
+        state = SettingsState("gj-west")
 
-        reader.take_page(LogPage((LogRecord(5, "c5", change(5, 4)),), 5, 6))
+        state.apply_page(LogPage((LogRecord(5, "c5", change(5, 4)),), 5, 6))
 
-        assert reader.version == 0
-        assert reader.needs_snapshot
-        assert reader.alarms.gaps == 1
+        assert state.version == 0
+        assert state.needs_snapshot
+        assert state.alarms.gaps == 1
 
     def test_older_snapshot_never_reverts_a_setting(self):
-        reader = SettingsReader("gj-west")
-        reader.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
-        old = reader.tree.to_data()
-        reader.take_page(LogPage((LogRecord(2, "c2", change(2, 1)),), 1, 3))
+        state = SettingsState("gj-west")
+        state.apply_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
+        old = state.tree.to_data()
+        state.apply_page(LogPage((LogRecord(2, "c2", change(2, 1)),), 1, 3))
 
-        assert not reader.take_snapshot(old)
-        assert reader.version == 2
+        assert not state.apply_snapshot(old)
+        assert state.version == 2
 
     @pytest.mark.parametrize("data", [None, {}, {"kind": "snapshot", "version": 9, "leaves": [1]}])
     def test_invalid_snapshot_is_counted_and_ignored(self, data):
-        reader = SettingsReader("gj-west")
+        state = SettingsState("gj-west")
 
-        assert not reader.take_snapshot(data)
-        assert reader.alarms.poison_snapshots == 1
+        assert not state.apply_snapshot(data)
+        assert state.alarms.poison_snapshots == 1
 
     def test_different_tree_at_the_same_version_counts_as_a_fork(self):
-        reader = SettingsReader("gj-west")
+        state = SettingsState("gj-west")
 
-        reader.check_peer(0, reader.digest)
-        reader.check_peer(0, "other")
+        state.check_peer_digest(0, state.digest)
+        state.check_peer_digest(0, "other")
 
-        assert reader.alarms.forks == 1
+        assert state.alarms.forks == 1
 
 
 class TestSettingsFollower:
@@ -125,8 +125,8 @@
 
         fleet.step(late)
 
-        assert late.reader.version == 2
-        assert late.reader.view.version == 2
+        assert late.state.version == 2
+        assert late.state.view.version == 2
 
     def test_starts_from_a_peer_while_the_log_is_down(self):
         fleet = Fleet()
@@ -134,28 +134,28 @@
         fleet.publish(1, 0)
         fleet.step(running)
         fleet.log.down = True
-        late = fleet.follower(peer=running.reader)
+        late = fleet.follower(peer=running.state)
 
         fleet.step(late)
 
-        assert late.reader.digest == running.reader.digest
+        assert late.state.digest == running.state.digest
 
     def test_no_peer_is_polled_while_the_log_responds(self):
         fleet = Fleet()
-        ahead = SettingsReader("gj-west")
-        ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
+        ahead = SettingsState("gj-west")
+        ahead.apply_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
         follower = fleet.follower(peer=ahead)
 
         for second in range(5):
             fleet.now_s = float(second)
             fleet.step(follower)
 
-        assert follower.reader.version == 0
+        assert follower.state.version == 0
 
-    def test_reader_paused_beyond_the_retention_recovers_through_a_peer(self):
+    def test_process_paused_beyond_the_retention_recovers_through_a_peer(self):
         fleet = Fleet(retention_s=10.0)
         running = fleet.follower()
-        paused = fleet.follower(peer=running.reader)
+        paused = fleet.follower(peer=running.state)
         for number in range(1, 4):
             fleet.publish(number, number - 1)
             fleet.step(running)
@@ -164,8 +164,8 @@
 
         fleet.step(paused)
 
-        assert paused.reader.version == 3
-        assert paused.reader.digest == running.reader.digest
+        assert paused.state.version == 3
+        assert paused.state.digest == running.state.digest
 
     def test_fleet_publishes_few_snapshots_and_always_has_one(self):
         fleet = Fleet()
@@ -185,11 +185,11 @@
 
     def test_newer_tree_is_pushed_to_a_peer_that_lags(self):
         async def run():
-            ahead, behind = SettingsReader("gj-west"), SettingsReader("gj-west")
-            ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
+            ahead, behind = SettingsState("gj-west"), SettingsState("gj-west")
+            ahead.apply_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
 
             async def app(scope, receive, send):
-                await serve_settings(behind, behind.take_snapshot, scope, receive, send)
+                await serve_settings(behind, behind.apply_snapshot, scope, receive, send)
 
             server = Server(app, bind("127.0.0.1:0"))
             async with anyio.create_task_group() as group, client_pool() as pool:
@@ -204,11 +204,11 @@
 
     def test_peer_returns_a_newer_tree_over_http(self):
         async def run():
-            ahead, behind = SettingsReader("gj-west"), SettingsReader("gj-west")
-            ahead.take_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
+            ahead, behind = SettingsState("gj-west"), SettingsState("gj-west")
+            ahead.apply_page(LogPage((LogRecord(1, "c1", change(1, 0)),), 1, 2))
 
             async def app(scope, receive, send):
-                await serve_settings(ahead, ahead.take_snapshot, scope, receive, send)
+                await serve_settings(ahead, ahead.apply_snapshot, scope, receive, send)
 
             server = Server(app, bind("127.0.0.1:0"))
             async with anyio.create_task_group() as group, client_pool() as pool:
@@ -221,7 +221,7 @@
 
         ahead, behind, data, nothing = anyio.run(run)
 
-        assert behind.take_snapshot(data)
+        assert behind.apply_snapshot(data)
         assert behind.digest == ahead.digest
         assert nothing is None
 
