--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -142,7 +142,7 @@
     """
 
     async def run(desk: Desk) -> int:
-        if not await desk.session.replay():
+        if not await desk.session.read_history():
             return print_log_down(json)
         rows = [j for j in desk.session.state.history if not id or j.change_id == id]
         shown = rows[:1] if id else rows[-limit:]
@@ -170,7 +170,7 @@
         end_s = time.monotonic() + (for_s or float("inf"))
         while time.monotonic() < end_s:
             seen = state.version
-            if not await desk.session.look():
+            if not await desk.session.sync():
                 return print_log_down(json)
             for judged in [j for j in state.history if j.offset > seen]:
                 say(json, judged_row(judged), judged_line(judged))
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -12,7 +12,7 @@
 from beryljunction.cli.settings_output import EXIT_OK, print_not_in_force, print_problems, say
 from beryljunction.settings.changes import Edit
 from beryljunction.settings.files import load_toml
-from beryljunction.settings.operating import Invalid
+from beryljunction.settings.operating import InvalidChange
 from beryljunction.settings.paths import Path, parse_path
 from beryljunction.settings.publishing import InForce
 from beryljunction.settings.validating import edits_between, leaves_of
@@ -73,7 +73,7 @@
 async def _publish(desk: Desk, edits: tuple[Edit, ...], note: str, json: bool) -> int:
     base = desk.session.state.version
     answer = await desk.session.publish(edits, note)
-    if isinstance(answer, Invalid):
+    if isinstance(answer, InvalidChange):
         return print_problems(list(answer.problems), json)
     if isinstance(answer, InForce):
         await _print_in_force(desk, answer, json)
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -65,7 +65,7 @@
             session = OperatorSession(log, file.operator, file.key)
             nodes = HttpPeers(lambda: file.nodes, session.state, pool, file.fleet_key)
             fleet = client if file.hosts_address else None
-            if look and not await session.look():
+            if look and not await session.sync():
                 return print_log_down(json)
             return await command(Desk(file, session, nodes, fleet))
 
--- a/src/beryljunction/cli/settings_output.py
+++ b/src/beryljunction/cli/settings_output.py
@@ -8,7 +8,12 @@
 
 from beryljunction.settings.changes import Accepted, Edit, Refused
 from beryljunction.settings.paths import Path, parse_path
-from beryljunction.settings.publishing import Lost, NotPublished, PublishAnswer, Unknown
+from beryljunction.settings.publishing import (
+    ChangeRefused,
+    NotPublished,
+    OutcomeUnknown,
+    PublishOutcome,
+)
 from beryljunction.settings.reader import AppliedRecord
 
 __all__ = [
@@ -37,10 +42,10 @@
 
 
 def print_not_in_force(
-    answer: PublishAnswer, base: int, edits: tuple[Edit, ...], json: bool
+    answer: PublishOutcome, base: int, edits: tuple[Edit, ...], json: bool
 ) -> int:
     """Print the outcome of a change that was not accepted and return the exit code."""
-    if isinstance(answer, Lost):
+    if isinstance(answer, ChangeRefused):
         own_values = {edit.path: None if edit.unset else edit.value for edit in edits}
         rows = [
             {**attrs.asdict(c), "yours": own_values.get(c.path)} for c in answer.verdict.conflicts
@@ -60,7 +65,7 @@
         text = f"not published: {answer.reason}; the log does not hold the change, try again later"
         say(json, {"outcome": "not_published", "reason": answer.reason}, text)
         return EXIT_LOG_DOWN
-    assert isinstance(answer, Unknown)
+    assert isinstance(answer, OutcomeUnknown)
     lines = [
         f"unknown: {answer.reason}; the log may hold change {answer.change_id}, now or soon",
         f"find out with: beryl settings history --id {answer.change_id}",
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_view.py
@@ -8,7 +8,7 @@
 
 from beryljunction.errors import SettingsError
 from beryljunction.settings import AccountSettings, Edit, ResolvedSettings, ServiceSettings
-from beryljunction.settings.operating import Invalid, OperatorSession
+from beryljunction.settings.operating import InvalidChange, OperatorSession
 from beryljunction.stores import LogClient
 
 __all__ = [
@@ -60,10 +60,10 @@
         SettingsError: If the settings are not valid.
     """
     session = OperatorSession(log, DEMO_OPERATOR)
-    await session.look()
+    await session.sync()
     edits = tuple(Edit(path, value) for path, value in leaves.items())
     answer = await session.publish(edits, "settings to start with")
-    if isinstance(answer, Invalid):
+    if isinstance(answer, InvalidChange):
         raise SettingsError(list(answer.problems))
 
 
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -20,23 +20,23 @@
 from beryljunction.settings.paths import Path, Scope, parse_path, parse_scope
 from beryljunction.settings.publishing import (
     AppendNow,
-    PublishAnswer,
-    PublishSystem,
-    ReadOn,
+    PublishOutcome,
+    PublishStateMachine,
+    WaitAndRead,
 )
 from beryljunction.settings.state import AppliedRecord, SettingsState
 from beryljunction.settings.validating import problems_of, reads_of
 from beryljunction.stores.log import LogClient, ReadFailed
 
-__all__ = ["Invalid", "OperatorSession"]
+__all__ = ["InvalidChange", "OperatorSession"]
 
-_LOOK_TIMEOUT_S = 10.0
+_SYNC_TIMEOUT_S = 10.0
 _PUBLISH_TIMEOUT_S = 20.0
 _PAGE_RECORDS = 500
 
 
 @attrs.frozen
-class Invalid:
+class InvalidChange:
     """The change was not published: it makes the tree invalid or the operator may not make it."""
 
     problems: tuple[str, ...]
@@ -67,9 +67,9 @@
             self.state, log, lambda view: None, peers, settings, now_s, self._rng
         )
 
-    async def look(self) -> bool:
+    async def sync(self) -> bool:
         """Read the settings in force; return False if the log did not respond in time."""
-        end_s = self._now_s() + _LOOK_TIMEOUT_S
+        end_s = self._now_s() + _SYNC_TIMEOUT_S
         while self._now_s() < end_s:
             pause_s = await self._follower.step()
             if self.state.caught_up:
@@ -77,14 +77,14 @@
             await self._sleep(pause_s)
         return False
 
-    async def replay(self) -> bool:
+    async def read_history(self) -> bool:
         """Read all records that the log still keeps, so that the history has their verdicts."""
         page = await self._log.read(CHANGES_STREAM, 0, 1)
         if isinstance(page, ReadFailed):
             return False
         if page.first_offset > 1:
             await self._apply_oldest_snapshot(page.first_offset)
-        return await self.look()
+        return await self.sync()
 
     def unset_edits(self, text: str) -> tuple[Edit, ...]:
         """Return the edits that unset a path, or all paths within a scope.
@@ -102,7 +102,7 @@
             raise ValueError(f"{text}: expected a path that is set, got none; nothing to unset")
         return tuple(Edit(str(path), unset=True) for path in paths)
 
-    def check(self, edits: tuple[Edit, ...]) -> Invalid | None:
+    def validate(self, edits: tuple[Edit, ...]) -> InvalidChange | None:
         """Return the problems that the edits cause; existing problems of the tree don't count.
 
         A tree may hold values that only a newer program version knows. They must not block every
@@ -118,13 +118,13 @@
             for edit in edits
             if not self.state.tree.may_change(self._operator, parse_path(edit.path).scope)
         ]
-        return Invalid(tuple(problems)) if problems else None
+        return InvalidChange(tuple(problems)) if problems else None
 
     async def publish(
         self, edits: tuple[Edit, ...], note: str = "", change_id: str | None = None
-    ) -> PublishAnswer | Invalid:
+    ) -> PublishOutcome | InvalidChange:
         """Publish edits based on the version that this session has read, and return the outcome."""
-        invalid = self.check(edits)
+        invalid = self.validate(edits)
         if invalid is not None:
             return invalid
         change = Change(
@@ -135,28 +135,28 @@
             reads=reads_of(edits),
             note=note,
         )
-        system = PublishSystem(change, self._now_s() + _PUBLISH_TIMEOUT_S, self._rng)
+        machine = PublishStateMachine(change, self._now_s() + _PUBLISH_TIMEOUT_S, self._rng)
         while True:
-            step = system.next(self._now_s())
+            step = machine.next_step(self._now_s())
             if isinstance(step, AppendNow):
                 data = change.to_data()
                 outcome = await self._log.append(CHANGES_STREAM, change.change_id, data)
-                system.take_append(outcome, self._now_s())
-            elif isinstance(step, ReadOn):
+                machine.on_append_outcome(outcome, self._now_s())
+            elif isinstance(step, WaitAndRead):
                 await self._sleep(step.wait_s)
-                await self._read_new_records(system)
+                await self._read_new_records(machine)
             else:
                 return step
 
-    def find(self, change_id: str) -> AppliedRecord | None:
-        """Return the first record with an id that :meth:`replay` or :meth:`look` has read.
+    def find_record(self, change_id: str) -> AppliedRecord | None:
+        """Return the first record with an id that :meth:`read_history` or :meth:`sync` has read.
 
         A second copy of an accepted change is refused because of the first; the first one counts.
         """
         found = [applied for applied in self.state.history if applied.change_id == change_id]
         return found[0] if found else None
 
-    async def _read_new_records(self, system: PublishSystem) -> None:
+    async def _read_new_records(self, machine: PublishStateMachine) -> None:
         page = await self._log.read(CHANGES_STREAM, self.state.version, _PAGE_RECORDS)
         if isinstance(page, ReadFailed):
             return
@@ -164,9 +164,9 @@
         self.state.apply_page(page)
         for applied in self.state.history:
             if applied.offset > previous_version:
-                system.take_judged(applied)
+                machine.on_record_applied(applied)
         if self.state.caught_up:
-            system.take_end()
+            machine.on_log_end()
 
     async def _apply_oldest_snapshot(self, first_offset: int) -> None:
         """Apply the oldest snapshot from which the kept records continue without a gap."""
--- a/src/beryljunction/settings/publishing.py
+++ b/src/beryljunction/settings/publishing.py
@@ -11,13 +11,13 @@
 __all__ = [
     "AppendNow",
     "InForce",
-    "Lost",
+    "ChangeRefused",
     "NotPublished",
-    "PublishAnswer",
+    "PublishOutcome",
     "PublishStep",
-    "PublishSystem",
-    "ReadOn",
-    "Unknown",
+    "PublishStateMachine",
+    "WaitAndRead",
+    "OutcomeUnknown",
 ]
 
 _RETRY_S = 0.5
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Lost:
+class ChangeRefused:
     """Every reader refused the change."""
 
     change_id: str
@@ -48,14 +48,14 @@
 
 
 @attrs.frozen
-class Unknown:
+class OutcomeUnknown:
     """The change may be on the log; look it up by its id once the log responds again."""
 
     change_id: str
     reason: str
 
 
-PublishAnswer = InForce | Lost | NotPublished | Unknown
+PublishOutcome = InForce | ChangeRefused | NotPublished | OutcomeUnknown
 
 
 @attrs.frozen
@@ -64,16 +64,16 @@
 
 
 @attrs.frozen
-class ReadOn:
+class WaitAndRead:
     """Wait, then read the log from the reader's version on."""
 
     wait_s: float
 
 
-PublishStep = AppendNow | ReadOn | PublishAnswer
+PublishStep = AppendNow | WaitAndRead | PublishOutcome
 
 
-class PublishSystem:
+class PublishStateMachine:
     """Decides the next step for one change.
 
     The log may respond late, or append the record although its response is lost, while other
@@ -88,13 +88,13 @@
         self.change = change
         self._deadline_s = deadline_s
         self._rng = rng
-        self._outcome: PublishAnswer | None = None
+        self._outcome: PublishOutcome | None = None
         self._may_be_on_log = False
         self._next_append_s = 0.0
         self._has_read_to_end = True
         self._reason = "no response from the log"
 
-    def take_append(self, outcome: AppendOutcome, now_s: float) -> None:
+    def on_append_outcome(self, outcome: AppendOutcome, now_s: float) -> None:
         """Process the log's response to an append."""
         if isinstance(outcome, Appended):
             self._may_be_on_log = True
@@ -108,7 +108,7 @@
             self._may_be_on_log = True
             self._has_read_to_end = False
 
-    def take_judged(self, applied: AppliedRecord) -> None:
+    def on_record_applied(self, applied: AppliedRecord) -> None:
         """Process a record that the reader applied; the first one with this id decides."""
         if applied.change_id != self.change.change_id or self._outcome is not None:
             return
@@ -117,24 +117,24 @@
         elif isinstance(applied.verdict, Refused):
             self._outcome = self._outcome_of_refusal(applied.verdict)
 
-    def take_end(self) -> None:
+    def on_log_end(self) -> None:
         """Note that the reader has reached the end of the log."""
         self._has_read_to_end = True
 
-    def next(self, now_s: float) -> PublishStep:
+    def next_step(self, now_s: float) -> PublishStep:
         """Return the next step, or the outcome."""
         if self._outcome is not None:
             return self._outcome
         if now_s >= self._deadline_s:
             if self._may_be_on_log:
-                return Unknown(self.change.change_id, self._reason)
+                return OutcomeUnknown(self.change.change_id, self._reason)
             return NotPublished(self.change.change_id, self._reason)
         if self._has_read_to_end and now_s >= self._next_append_s:
             return AppendNow()
-        return ReadOn(0.1 * (1.0 + self._rng.random()))
+        return WaitAndRead(0.1 * (1.0 + self._rng.random()))
 
-    def _outcome_of_refusal(self, verdict: Refused) -> PublishAnswer:
+    def _outcome_of_refusal(self, verdict: Refused) -> PublishOutcome:
         own_conflicts = [c for c in verdict.conflicts if c.change_id == self.change.change_id]
         if own_conflicts:
             return InForce(self.change.change_id, own_conflicts[0].version)
-        return Lost(self.change.change_id, verdict)
+        return ChangeRefused(self.change.change_id, verdict)
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -5,7 +5,7 @@
     SettingsState,
     SettingsTree,
 )
-from beryljunction.settings.publishing import PublishSystem
+from beryljunction.settings.publishing import PublishStateMachine
 from beryljunction.systems.recovery.orders import Hold, NeedSlot, OrderSystem
 from settings_world import NODES, Oracle, Peers, covers_as_written
 
@@ -54,12 +54,12 @@
 def without_doubt(monkeypatch):
     """Treat an append without a response as one that did not happen."""
 
-    def take_append(system, outcome, now_s):
-        original(system, outcome, now_s)
-        system._may_be_on_log = False
+    def on_append_outcome(machine, outcome, now_s):
+        original(machine, outcome, now_s)
+        machine._may_be_on_log = False
 
-    original = PublishSystem.take_append
-    monkeypatch.setattr(PublishSystem, "take_append", take_append)
+    original = PublishStateMachine.on_append_outcome
+    monkeypatch.setattr(PublishStateMachine, "on_append_outcome", on_append_outcome)
 
 
 def without_read_back(monkeypatch):
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -26,8 +26,8 @@
     SettingsState,
     parse_path,
 )
-from beryljunction.settings.operating import Invalid, OperatorSession
-from beryljunction.settings.publishing import InForce, Lost, NotPublished
+from beryljunction.settings.operating import InvalidChange, OperatorSession
+from beryljunction.settings.publishing import ChangeRefused, InForce, NotPublished
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.standins import EngineOrdersModel, LogModel, LogModelSettings, WeightStoreModel
 from beryljunction.stores import AppendUnknown, LogClient, ReadFailed
@@ -278,7 +278,7 @@
         session = OperatorSession(
             Log(self), name, "", None, lambda: self.scheduler.now_s, sleep, self.random
         )
-        if not await session.look():
+        if not await session.sync():
             return
         await sleep(think_s)
         self.answers.append(
@@ -311,14 +311,14 @@
 
     def check_answers(self):
         for answer in self.answers:
-            if isinstance(answer, Invalid):
+            if isinstance(answer, InvalidChange):
                 continue
             verdicts = self.oracle.verdicts.get(answer.change_id, [])
             accepted = [offset for offset, is_accepted in verdicts if is_accepted]
             assert len(accepted) <= 1
             if isinstance(answer, InForce):
                 assert accepted == [answer.version]
-            elif isinstance(answer, Lost):
+            elif isinstance(answer, ChangeRefused):
                 assert accepted == []
                 assert verdicts
             elif isinstance(answer, NotPublished):
--- a/testing/test_node_orders.py
+++ b/testing/test_node_orders.py
@@ -22,7 +22,7 @@
                 ledger = (await fleet.add_endpoint("ledger-0", "ledger")).app
                 await fleet.settle()
                 session = OperatorSession(ModelLogClient(fleet.log, time.monotonic), "asha")
-                await session.look()
+                await session.sync()
                 answer = await session.publish((Edit("service.drafter.model_version", "v2"),))
                 with anyio.fail_after(TIMEOUT_S):
                     while {e.orders.models.get("drafter") for e in engines} != {"v2"}:
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -16,14 +16,14 @@
     SettingsState,
     serve_settings,
 )
-from beryljunction.settings.operating import Invalid, OperatorSession
+from beryljunction.settings.operating import InvalidChange, OperatorSession
 from beryljunction.settings.publishing import (
     AppendNow,
+    ChangeRefused,
     InForce,
-    Lost,
     NotPublished,
-    PublishSystem,
-    Unknown,
+    OutcomeUnknown,
+    PublishStateMachine,
 )
 from beryljunction.standins import (
     HostListStandIn,
@@ -55,7 +55,7 @@
 
     def synced_session(self, name="asha", key=""):
         session = self.session(name, key)
-        run_coroutine(session.look())
+        run_coroutine(session.sync())
         return session
 
 
@@ -76,7 +76,7 @@
         lost = run_coroutine(ravi.publish((Edit("service.drafter.max_running", 24),)))
 
         assert isinstance(won, InForce)
-        assert isinstance(lost, Lost)
+        assert isinstance(lost, ChangeRefused)
         (conflict,) = lost.verdict.conflicts
         assert (conflict.operator, conflict.value, conflict.version) == ("asha", 16, won.version)
 
@@ -104,10 +104,10 @@
         answer = run_coroutine(session.publish(DRAFTER))
         factory.log.down = False
         later = factory.session()
-        run_coroutine(later.replay())
+        run_coroutine(later.read_history())
 
-        assert isinstance(answer, Unknown)
-        assert later.find(answer.change_id) is None
+        assert isinstance(answer, OutcomeUnknown)
+        assert later.find_record(answer.change_id) is None
 
     def test_invalid_change_is_not_appended(self):
         factory = SessionFactory()
@@ -116,7 +116,7 @@
             factory.synced_session().publish((*DRAFTER, Edit("service.drafter.max_running", 0)))
         )
 
-        assert answer == Invalid(
+        assert answer == InvalidChange(
             ("service.drafter.max_running: expected a whole number from 1 to 4096, got int 0",)
         )
         assert factory.log.read(CHANGES_STREAM, 0, 1, 0.0).next_offset == 1
@@ -150,28 +150,28 @@
     CHANGE = Change("c", 0, "asha", DRAFTER)
 
     def test_rate_limit_alone_ends_in_not_published(self):
-        system = PublishSystem(self.CHANGE, 5.0, random.Random(0))
+        machine = PublishStateMachine(self.CHANGE, 5.0, random.Random(0))
 
-        system.take_append(AppendRefused("limit", 1.0), 0.0)
+        machine.on_append_outcome(AppendRefused("limit", 1.0), 0.0)
 
-        assert system.next(5.0) == NotPublished("c", "limit")
+        assert machine.next_step(5.0) == NotPublished("c", "limit")
 
     def test_log_is_read_to_its_end_before_a_second_append(self):
-        system = PublishSystem(self.CHANGE, 60.0, random.Random(0))
-        system.take_append(AppendUnknown("lost"), 0.0)
+        machine = PublishStateMachine(self.CHANGE, 60.0, random.Random(0))
+        machine.on_append_outcome(AppendUnknown("lost"), 0.0)
 
-        before = system.next(5.0)
-        system.take_end()
+        before = machine.next_step(5.0)
+        machine.on_log_end()
 
         assert not isinstance(before, AppendNow)
-        assert isinstance(system.next(5.0), AppendNow)
+        assert isinstance(machine.next_step(5.0), AppendNow)
 
     def test_appended_change_that_is_not_read_back_is_unknown(self):
-        system = PublishSystem(self.CHANGE, 5.0, random.Random(0))
+        machine = PublishStateMachine(self.CHANGE, 5.0, random.Random(0))
 
-        system.take_append(Appended(3), 0.0)
+        machine.on_append_outcome(Appended(3), 0.0)
 
-        assert isinstance(system.next(6.0), Unknown)
+        assert isinstance(machine.next_step(6.0), OutcomeUnknown)
 
 
 class Fleet(threading.Thread):
