--- a/src/beryljunction/bench/settings_cost.py
+++ b/src/beryljunction/bench/settings_cost.py
@@ -18,7 +18,7 @@
     SettingsFollower,
     SettingsState,
     SettingsTree,
-    reads_of,
+    dependencies_of,
 )
 from beryljunction.standins import LogStandIn
 from beryljunction.stores import HttpLogClient, LogRecord
@@ -91,7 +91,7 @@
         for rule, tree in trees.items():
             base = bases[number][rule]
             is_newest = last_accepted[rule] <= base
-            change = Change(str(number), base, "asha", edits, reads_of(edits))
+            change = Change(str(number), base, "asha", edits, dependencies_of(edits))
             record = LogRecord(tree.version + 1, str(number), change.to_data())
             if (rule == "path" or is_newest) and isinstance(tree.apply(record), Accepted):
                 last_accepted[rule] = tree.version
@@ -145,7 +145,7 @@
 
 def _append(log: LogStandIn, number: int) -> None:
     edits = (Edit("service.s0.deadline_s", float(number)),)
-    change = Change(f"{number:032x}", number - 1, "asha", edits, reads_of(edits))
+    change = Change(f"{number:032x}", number - 1, "asha", edits, dependencies_of(edits))
     log.model.append(CHANGES_STREAM, change.change_id, change.to_data(), 0.0)
 
 
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -31,8 +31,13 @@
 from beryljunction.settings.files import load_toml
 from beryljunction.settings.paths import Path, parse_path
 from beryljunction.settings.resolving import Origin, Resolver
-from beryljunction.settings.rules import problem_of, rule_of
-from beryljunction.settings.validating import edits_between, leaves_of, problems_of, tree_of
+from beryljunction.settings.rules import rule_of, value_problem
+from beryljunction.settings.validating import (
+    edits_between,
+    parse_leaves,
+    tree_from_leaves,
+    validate_tree,
+)
 
 __all__ = ["COMMANDS"]
 
@@ -46,10 +51,10 @@
     :param json: Print one JSON object.
     """
     try:
-        leaves, problems = leaves_of(load_toml(tree))
+        leaves, problems = parse_leaves(load_toml(tree))
     except SettingsError as error:
         return print_problems(error.problems, json)
-    problems += problems_of(tree_of(leaves))
+    problems += validate_tree(tree_from_leaves(leaves))
     if problems:
         return print_problems(problems, json)
     say(json, {"outcome": "valid", "settings": len(leaves)}, f"valid: {len(leaves)} settings")
@@ -65,7 +70,7 @@
     """
 
     async def run(desk: Desk) -> int:
-        wanted, problems = leaves_of(load_toml(tree))
+        wanted, problems = parse_leaves(load_toml(tree))
         if problems:
             return print_problems(problems, json)
         present = desk.session.state.tree.values()
@@ -204,7 +209,7 @@
         raise SettingsError([str(error)]) from error
     rule = rule_of(path)
     if rule is None:
-        raise SettingsError([problem_of(path, None) or text])
+        raise SettingsError([value_problem(path, None) or text])
     scope = path.scope
     if scope.operator:
         return Origin(desk.session.state.tree.value(path), scope)
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -15,7 +15,7 @@
 from beryljunction.settings.operating import InvalidChange
 from beryljunction.settings.paths import Path, parse_path
 from beryljunction.settings.publishing import InForce
-from beryljunction.settings.validating import edits_between, leaves_of
+from beryljunction.settings.validating import edits_between, parse_leaves
 
 __all__ = ["set_", "unset"]
 
@@ -114,7 +114,7 @@
     wanted: dict[Path, Any] = {}
     problems: list[str] = []
     if file is not None:
-        wanted, problems = leaves_of(load_toml(file))
+        wanted, problems = parse_leaves(load_toml(file))
     for text in assignments:
         name, separator, value = text.partition("=")
         try:
--- a/src/beryljunction/settings/__init__.py
+++ b/src/beryljunction/settings/__init__.py
@@ -8,7 +8,7 @@
     Conflict,
     Edit,
     Match,
-    Read,
+    ReadDependency,
     Refused,
     Skipped,
     Verdict,
@@ -24,7 +24,7 @@
 from beryljunction.settings.peers import SETTINGS_PATH, HttpPeers, serve_settings
 from beryljunction.settings.reader import Alarms, AppliedRecord, SettingsState
 from beryljunction.settings.resolving import Origin, Resolver, resolve
-from beryljunction.settings.rules import FieldRule, problem_of, rule_of
+from beryljunction.settings.rules import FieldRule, rule_of, value_problem
 from beryljunction.settings.schema import (
     AccountSettings,
     EntryFile,
@@ -39,7 +39,12 @@
     WeightSettings,
 )
 from beryljunction.settings.tree import Leaf, SettingsTree
-from beryljunction.settings.validating import edits_between, leaves_of, problems_of, reads_of
+from beryljunction.settings.validating import (
+    dependencies_of,
+    edits_between,
+    parse_leaves,
+    validate_tree,
+)
 
 __all__ = [
     "SETTINGS_PATH",
@@ -70,7 +75,7 @@
     "Origin",
     "Path",
     "ProcessSettings",
-    "Read",
+    "ReadDependency",
     "Refused",
     "Resolver",
     "Scope",
@@ -84,14 +89,14 @@
     "WeightSettings",
     "converter",
     "edits_between",
-    "leaves_of",
+    "parse_leaves",
     "load_file",
     "load_toml",
     "parse_path",
     "parse_scope",
-    "problem_of",
-    "problems_of",
-    "reads_of",
+    "value_problem",
+    "validate_tree",
+    "dependencies_of",
     "resolve",
     "rule_of",
     "structure",
--- a/src/beryljunction/settings/changes.py
+++ b/src/beryljunction/settings/changes.py
@@ -16,7 +16,7 @@
     "Conflict",
     "Edit",
     "Match",
-    "Read",
+    "ReadDependency",
     "Refused",
     "Skipped",
     "Verdict",
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Read:
+class ReadDependency:
     """A part of the tree that a change depends on, in addition to the paths that it edits.
 
     Attributes:
@@ -83,7 +83,7 @@
     base: int
     operator: str
     edits: tuple[Edit, ...]
-    reads: tuple[Read, ...] = ()
+    reads: tuple[ReadDependency, ...] = ()
     note: str = ""
 
     def to_data(self) -> Any:
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operating.py
@@ -25,7 +25,7 @@
     WaitAndRead,
 )
 from beryljunction.settings.state import AppliedRecord, SettingsState
-from beryljunction.settings.validating import problems_of, reads_of
+from beryljunction.settings.validating import dependencies_of, validate_tree
 from beryljunction.stores.log import LogClient, ReadFailed
 
 __all__ = ["InvalidChange", "OperatorSession"]
@@ -108,8 +108,8 @@
         A tree may hold values that only a newer program version knows. They must not block every
         other change.
         """
-        before = problems_of(self.state.tree)
-        after = problems_of(self.state.tree.preview(edits))
+        before = validate_tree(self.state.tree)
+        after = validate_tree(self.state.tree.with_edits(edits))
         problems = [problem for problem in after if problem not in before]
         if not self._key_matches():
             problems.append(f"operator.{self._operator}: expected the key of this operator")
@@ -132,7 +132,7 @@
             base=self.state.version,
             operator=self._operator,
             edits=edits,
-            reads=reads_of(edits),
+            reads=dependencies_of(edits),
             note=note,
         )
         machine = PublishStateMachine(change, self._now_s() + _PUBLISH_TIMEOUT_S, self._rng)
--- a/src/beryljunction/settings/resolving.py
+++ b/src/beryljunction/settings/resolving.py
@@ -11,7 +11,7 @@
 import attrs
 
 from beryljunction.settings.paths import Path, Scope
-from beryljunction.settings.rules import problem_of, rule_of
+from beryljunction.settings.rules import rule_of, value_problem
 from beryljunction.settings.schema import (
     AccountSettings,
     LimitSettings,
@@ -100,7 +100,7 @@
         The value stays in the tree; here the value of the next weaker scope is used, and a value
         that is out of range is listed as unusable.
         """
-        problem = problem_of(path, value)
+        problem = value_problem(path, value)
         if problem is None:
             self._by_field.setdefault(path.field, {})[path.scope] = value
         elif rule_of(path) is not None:
--- a/src/beryljunction/settings/rules.py
+++ b/src/beryljunction/settings/rules.py
@@ -20,7 +20,7 @@
     WeightSettings,
 )
 
-__all__ = ["FieldRule", "problem_of", "rule_of"]
+__all__ = ["FieldRule", "value_problem", "rule_of"]
 
 _FIELD_BOUNDS: dict[str, tuple[float, float]] = {
     "load_multiple": (1.0, 10.0),
@@ -112,7 +112,7 @@
     return _operator_rules().get(path.field) if path.scope.operator else _rules().get(path.field)
 
 
-def problem_of(path: Path, value: Any) -> str | None:
+def value_problem(path: Path, value: Any) -> str | None:
     """Return the problem of a value: path, expected and actual value; None if it is valid."""
     rule = rule_of(path)
     if rule is None:
--- a/src/beryljunction/settings/tree.py
+++ b/src/beryljunction/settings/tree.py
@@ -74,7 +74,7 @@
         """Return the values of all paths that are set, sorted by path."""
         return {path: leaf.value for path, leaf in sorted(self.leaves.items()) if leaf.is_set}
 
-    def preview(self, edits: tuple[Edit, ...]) -> "SettingsTree":
+    def with_edits(self, edits: tuple[Edit, ...]) -> "SettingsTree":
         """Return a copy with the edits applied, to validate them before they are published."""
         copy = SettingsTree(self.version, dict(self.leaves))
         copy._write(Change("", self.version, "", edits), self.version)
--- a/src/beryljunction/settings/validating.py
+++ b/src/beryljunction/settings/validating.py
@@ -2,14 +2,14 @@
 
 from typing import Any
 
-from beryljunction.settings.changes import Edit, Match, Read
+from beryljunction.settings.changes import Edit, Match, ReadDependency
 from beryljunction.settings.paths import Path, Scope, parse_path, parse_scope
 from beryljunction.settings.resolving import Resolver
-from beryljunction.settings.rules import problem_of
+from beryljunction.settings.rules import value_problem
 from beryljunction.settings.schema import LimitSettings, ServiceSettings
 from beryljunction.settings.tree import SettingsTree
 
-__all__ = ["edits_between", "leaves_of", "problems_of", "reads_of", "tree_of"]
+__all__ = ["edits_between", "parse_leaves", "validate_tree", "dependencies_of", "tree_from_leaves"]
 
 # Groups of fields with a constraint between them. If two operators change one field each, both
 # changes may be valid against the tree that each saw while the result is not. So a change of one
@@ -24,7 +24,7 @@
 _DECLARED_BY = {"service": "kind", "account": "key_sha256"}
 
 
-def leaves_of(data: dict[str, Any]) -> tuple[dict[Path, Any], list[str]]:
+def parse_leaves(data: dict[str, Any]) -> tuple[dict[Path, Any], list[str]]:
     """Return the leaves of a TOML tree, and the problems of keys that are not valid paths."""
     leaves: dict[Path, Any] = {}
     problems = []
@@ -43,9 +43,9 @@
     return leaves, problems
 
 
-def tree_of(leaves: dict[Path, Any]) -> SettingsTree:
+def tree_from_leaves(leaves: dict[Path, Any]) -> SettingsTree:
     """Return a tree with only these leaves."""
-    return SettingsTree().preview(tuple(Edit(str(p), value) for p, value in leaves.items()))
+    return SettingsTree().with_edits(tuple(Edit(str(p), value) for p, value in leaves.items()))
 
 
 def edits_between(old: dict[Path, Any], new: dict[Path, Any]) -> tuple[Edit, ...]:
@@ -55,10 +55,12 @@
     return (*unset, *changed)
 
 
-def problems_of(tree: SettingsTree) -> list[str]:
+def validate_tree(tree: SettingsTree) -> list[str]:
     """Return all problems of a tree, each with path, expected and actual value."""
     values = tree.values()
-    problems = [p for path, value in values.items() if (p := problem_of(path, value)) is not None]
+    problems = [
+        p for path, value in values.items() if (p := value_problem(path, value)) is not None
+    ]
     problems += _undeclared_problems(values)
     problems += _operator_problems(values)
     regions = sorted({path.scope.region for path in values})
@@ -67,9 +69,9 @@
     return list(dict.fromkeys(problems))
 
 
-def reads_of(edits: tuple[Edit, ...]) -> tuple[Read, ...]:
+def dependencies_of(edits: tuple[Edit, ...]) -> tuple[ReadDependency, ...]:
     """Return what the validity of edits depends on in addition to the paths that they change."""
-    reads: dict[Read, None] = {}
+    reads: dict[ReadDependency, None] = {}
     for edit in edits:
         path = parse_path(edit.path)
         for read in (*_dependent_field_reads(path), *_declaration_reads(path, edit.unset)):
@@ -78,9 +80,11 @@
     return tuple(reads)
 
 
-def _dependent_field_reads(path: Path) -> list[Read]:
+def _dependent_field_reads(path: Path) -> list[ReadDependency]:
     return [
-        Read(str(Path(Scope() if path.field == "models" else path.scope, name)), Match.OVERLAP)
+        ReadDependency(
+            str(Path(Scope() if path.field == "models" else path.scope, name)), Match.OVERLAP
+        )
         for group in _DEPENDENT_FIELDS
         if path.field in group
         for name in group
@@ -88,7 +92,7 @@
     ]
 
 
-def _declaration_reads(path: Path, unset: bool) -> list[Read]:
+def _declaration_reads(path: Path, unset: bool) -> list[ReadDependency]:
     """Return the reads of declarations for an edit.
 
     A value below a service depends on the service's declaration; removing the service depends on
@@ -100,9 +104,9 @@
         if not name:
             continue
         declaration = Path(Scope(**{level: name}), field)
-        reads.append(Read(str(declaration)))
+        reads.append(ReadDependency(str(declaration)))
         if unset and path == declaration:
-            reads.append(Read(str(declaration), Match.UNDER))
+            reads.append(ReadDependency(str(declaration), Match.UNDER))
     return reads
 
 
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -1,7 +1,7 @@
 """Functions that each disable one safeguard of the settings, for mutation tests."""
 
 from beryljunction.settings import (
-    Read,
+    ReadDependency,
     SettingsState,
     SettingsTree,
 )
@@ -40,7 +40,7 @@
 
 
 def without_reads(monkeypatch):
-    monkeypatch.setattr(Read, "covers", lambda read, path: False)
+    monkeypatch.setattr(ReadDependency, "covers", lambda read, path: False)
     monkeypatch.setattr(Oracle, "covers", staticmethod(covers_as_written))
 
 
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -21,7 +21,7 @@
     Edit,
     FollowerSettings,
     PeerSource,
-    Read,
+    ReadDependency,
     SettingsFollower,
     SettingsState,
     parse_path,
@@ -60,7 +60,7 @@
 )
 
 
-read_covers = Read.covers
+read_covers = ReadDependency.covers
 
 
 def covers_as_written(read, path):
--- a/testing/test_priority.py
+++ b/testing/test_priority.py
@@ -2,8 +2,8 @@
 import attrs
 import pytest
 
-from beryljunction.settings import leaves_of, resolve
-from beryljunction.settings.validating import tree_of
+from beryljunction.settings import parse_leaves, resolve
+from beryljunction.settings.validating import tree_from_leaves
 from beryljunction.standins import EngineModel, EngineStandIn
 from beryljunction.wire import Envelope
 from path_fakes import ScriptedEngine, chat, eventually, path_of, view_with
@@ -110,9 +110,9 @@
                 "other": {"key_sha256": "b" * 64},
             },
         }
-        leaves, problems = leaves_of(data)
+        leaves, problems = parse_leaves(data)
 
-        view, unusable = resolve(tree_of(leaves), "gj-west")
+        view, unusable = resolve(tree_from_leaves(leaves), "gj-west")
 
         found = {name: view.service_for("drafter", name).priority for name in ("jury", "other")}
         assert (found, problems, unusable) == ({"jury": 9, "other": 2}, [], [])
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -7,26 +7,26 @@
     Refused,
     SettingsTree,
     Skipped,
+    dependencies_of,
     edits_between,
-    leaves_of,
-    problems_of,
-    reads_of,
+    parse_leaves,
     resolve,
+    validate_tree,
 )
-from beryljunction.settings.validating import tree_of
+from beryljunction.settings.validating import tree_from_leaves
 from beryljunction.stores import LogRecord
 
 DRAFTER = {"service": {"drafter": {"kind": "engine", "models": ["drafter"]}}}
 
 
 def tree(data):
-    leaves, problems = leaves_of(data)
+    leaves, problems = parse_leaves(data)
     assert not problems
-    return tree_of(leaves)
+    return tree_from_leaves(leaves)
 
 
 def record(offset, base, *edits, operator="asha"):
-    change = Change(f"c{offset}", base, operator, edits, reads_of(edits))
+    change = Change(f"c{offset}", base, operator, edits, dependencies_of(edits))
     return LogRecord(offset, change.change_id, change.to_data())
 
 
@@ -64,7 +64,7 @@
 
     def test_unusable_value_is_kept_and_the_weaker_scope_is_used(self):
         data = {**DRAFTER, "max_running": 9, "service": {"drafter": {"kind": "engine"}}}
-        newer = tree(data).preview(
+        newer = tree(data).with_edits(
             (Edit("service.drafter.max_running", "auto"), Edit("service.drafter.new_field", 1))
         )
 
@@ -82,7 +82,7 @@
             "account": {"jury": {"weight": -1.0}},
         }
 
-        assert problems_of(tree(data)) == [
+        assert validate_tree(tree(data)) == [
             "service.drafter.deadline_s: expected a number of seconds from 0.1 to 3600, "
             "got str '12'",
             "service.drafter.kind: expected one of engine, plain, got str 'motor'",
@@ -94,14 +94,14 @@
     def test_constraint_between_two_fields_is_checked(self):
         data = {**DRAFTER, "region": {"gj-west": {"max_running": 2}}}
 
-        (problem,) = problems_of(tree(data))
+        (problem,) = validate_tree(tree(data))
 
         assert problem == (
             "region.gj-west: service.drafter.floor_running: expected at most max_running 2, got 4"
         )
 
     def test_longest_body_must_fit_into_the_limit_for_all_uploads(self):
-        (problem,) = problems_of(tree({"limits": {"upload_bytes": 1_000_000}}))
+        (problem,) = validate_tree(tree({"limits": {"upload_bytes": 1_000_000}}))
 
         assert problem == (
             "limits.upload_bytes: expected at least limits.body_bytes 4194304, got 1000000"
@@ -192,6 +192,6 @@
     def test_edits_between_two_trees_convert_one_to_the_other(self):
         old, new = ({**DRAFTER, **extra} for extra in ({"deadline_s": 5.0}, {"pointer_s": 9.0}))
 
-        edits = edits_between(leaves_of(old)[0], leaves_of(new)[0])
+        edits = edits_between(parse_leaves(old)[0], parse_leaves(new)[0])
 
         assert edits == (Edit("deadline_s", unset=True), Edit("pointer_s", 9.0))
