--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -29,7 +29,7 @@
         return True
 
     async def exchange(peers, version):
-        return peers.world.nodes[peers.world.random.choice(NODES)].state.tree.to_data()
+        return peers.simulation.nodes[peers.simulation.random.choice(NODES)].state.tree.to_data()
 
     monkeypatch.setattr(SettingsState, "apply_snapshot", apply_snapshot)
     monkeypatch.setattr(Peers, "exchange", exchange)
@@ -51,7 +51,7 @@
     monkeypatch.setattr(Peers, "exchange", exchange)
 
 
-def without_doubt(monkeypatch):
+def without_unknown_appends(monkeypatch):
     """Treat an append without a response as one that did not happen."""
 
     def on_append_outcome(machine, outcome, now_s):
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -116,88 +116,92 @@
 class Log(LogClient):
     """The log as one process sees it, with latency in both directions."""
 
-    def __init__(self, world, node=None):
-        self.world, self.node = world, node
+    def __init__(self, simulation, node=None):
+        self.simulation, self.node = simulation, node
 
     async def append(self, stream, record_id, data):
-        await sleep(self.world.random.uniform(0.005, 0.05))
+        await sleep(self.simulation.random.uniform(0.005, 0.05))
         if self.node is not None and self.node.log_cut:
             return AppendUnknown("cut off")
-        if self.world.random.random() < self.world.delayed_ratio:
-            self.world.scheduler.start(self._append_later(stream, record_id, data))
+        if self.simulation.random.random() < self.simulation.delayed_ratio:
+            self.simulation.scheduler.start(self._append_later(stream, record_id, data))
             await sleep(2.0)
             return AppendUnknown("late")
-        outcome = self.world.append(stream, record_id, data)
-        await sleep(self.world.random.uniform(0.005, 0.05))
+        outcome = self.simulation.append(stream, record_id, data)
+        await sleep(self.simulation.random.uniform(0.005, 0.05))
         return outcome
 
     async def _append_later(self, stream, record_id, data):
-        await sleep(self.world.random.uniform(2.0, 30.0))
-        self.world.append(stream, record_id, data)
+        await sleep(self.simulation.random.uniform(2.0, 30.0))
+        self.simulation.append(stream, record_id, data)
 
     async def read(self, stream, after, limit=500, wait_s=0.0):
-        await sleep(self.world.random.uniform(0.005, 0.05))
-        if self.world.log.down or (self.node is not None and self.node.log_cut):
-            await sleep(self.world.random.uniform(0.0, SILENT_S))
+        await sleep(self.simulation.random.uniform(0.005, 0.05))
+        if self.simulation.log.down or (self.node is not None and self.node.log_cut):
+            await sleep(self.simulation.random.uniform(0.0, SILENT_S))
             return ReadFailed("no answer")
-        page = self.world.log.read(stream, after, limit, self.world.scheduler.now_s)
-        await sleep(self.world.random.uniform(0.005, 0.05))
+        page = self.simulation.log.read(stream, after, limit, self.simulation.scheduler.now_s)
+        await sleep(self.simulation.random.uniform(0.005, 0.05))
         return page
 
 
 class Peers(PeerSource):
-    def __init__(self, world, node):
-        self.world, self.node = world, node
-        self.rotation = PeerRotation(world.random)
+    def __init__(self, simulation, node):
+        self.simulation, self.node = simulation, node
+        self.rotation = PeerRotation(simulation.random)
 
     @property
     def exchange_interval_s(self):
         return self.rotation.exchange_interval_s(self.node.name, NODES)
 
     async def exchange(self, version):
-        other = self.world.nodes[self.rotation.next_peer(self.node.name, NODES)]
-        if self.node.peers_cut or other.peers_cut or other.owner in self.world.scheduler.paused:
+        other = self.simulation.nodes[self.rotation.next_peer(self.node.name, NODES)]
+        if (
+            self.node.peers_cut
+            or other.peers_cut
+            or other.owner in self.simulation.scheduler.paused
+        ):
             await sleep(0.5)
             return None
         data = other.state.tree.to_data() if other.state.version > version else None
-        await sleep(self.world.random.uniform(0.005, 0.5))
+        await sleep(self.simulation.random.uniform(0.005, 0.5))
         if other.state.version < version:
             other.follower.apply_snapshot(self.node.state.tree.to_data())
         return data
 
 
 class Engine(EngineControl):
-    def __init__(self, world, model):
-        self.world, self.model = world, model
+    def __init__(self, simulation, model):
+        self.simulation, self.model = simulation, model
         self.in_hand = False
 
     async def state(self):
-        return self.model.state(self.world.scheduler.now_s)
+        return self.model.state(self.simulation.scheduler.now_s)
 
     async def order(self, order):
         self.in_hand = True
-        await sleep(self.world.random.uniform(0.001, 0.3))
+        await sleep(self.simulation.random.uniform(0.001, 0.3))
         self.in_hand = False
-        taken = self.model.order(order, self.world.scheduler.now_s)
-        if self.world.random.random() < self.world.lost_orders_ratio:
+        taken = self.model.order(order, self.simulation.scheduler.now_s)
+        if self.simulation.random.random() < self.simulation.lost_orders_ratio:
             await sleep(2.0)
             return OrderUnknown()
         return OrderTaken() if taken else OrderFenced()
 
 
-class Runners(OrderPeers):
-    def __init__(self, world, own):
-        self.world, self.own = world, own
+class FakeOrderPeers(OrderPeers):
+    def __init__(self, simulation, own):
+        self.simulation, self.own = simulation, own
 
     def listed(self):
-        return [name for name in self.world.runners if name != self.own]
+        return [name for name in self.simulation.runners if name != self.own]
 
     async def exchange(self, own):
         await sleep(0.02)
-        names = [n for n in self.listed() if n not in self.world.scheduler.paused]
+        names = [n for n in self.listed() if n not in self.simulation.scheduler.paused]
         for name in names:
-            self.world.runners[name].hear(own)
-        return [self.world.runners[name].row() for name in names]
+            self.simulation.runners[name].hear(own)
+        return [self.simulation.runners[name].row() for name in names]
 
 
 class OpenGate(WorkGate):
@@ -208,7 +212,7 @@
         return 0
 
 
-class World:
+class FleetSimulation:
     """A fleet of four processes, three operators, a log and two kinds of engines."""
 
     def __init__(self, number):
@@ -220,7 +224,7 @@
         self.delayed_ratio = self.lost_orders_ratio = 0.0
         self.last_fault_s = 0.0
         self.nodes, self.runners, self.controls = {}, {}, {}
-        self.zombies, self.answers = [], []
+        self.replaced_nodes, self.answers = [], []
         self.starts = self.outages = self.long_waits = 0
         store = WeightStoreModel(load_s=3.0)
         self.engines = {
@@ -260,7 +264,7 @@
                 "drafter",
                 lambda: node.state.view,
                 self.controls[name],
-                Runners(self, name),
+                FakeOrderPeers(self, name),
                 OpenGate(),
                 clock,
                 rng,
@@ -290,7 +294,7 @@
 
     def check_nodes(self):
         """Check that no version decreases, and each tree equals the oracle's at its version."""
-        for node in [*self.nodes.values(), *self.zombies]:
+        for node in [*self.nodes.values(), *self.replaced_nodes]:
             version = node.state.version
             assert version >= node.highest, f"version of {node.name} decreased"
             if version == node.highest:
