--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -7,7 +7,7 @@
 from beryljunction.fuzz.platform.stores import FuzzStore
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.front import CallerFrontend
-from beryljunction.gateway.known import Known, known_here
+from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerLink
 from beryljunction.gateway.state import EntryState
@@ -45,15 +45,15 @@
         self._entry = entry
         self._entries = entries
 
-    async def ask(self, address: Address, version: int, offset: int) -> Known | str:
+    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what the other entry knows."""
         await asyncio.sleep(_PEER_S)
         peer = self._at(address)
         if peer is None or peer.endpoints is None:
             return "no answer"
-        known = known_here(peer.state, peer.endpoints, version, offset)
+        store_view = local_store_view(peer.state, peer.endpoints, version, offset)
         await asyncio.sleep(_PEER_S)
-        return "nothing known" if known is None else Known.decode(known.encode())
+        return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
     async def tell(self, address: Address, news: bytes) -> bool:
         """Tell nothing: the world has no engines."""
--- a/src/beryljunction/gateway/known.py
+++ b/src/beryljunction/gateway/known.py
@@ -11,11 +11,11 @@
 from beryljunction.gateway.updates import ZoneUpdate
 from beryljunction.platform import Record
 
-__all__ = ["Known", "known_here", "zones_here"]
+__all__ = ["StoreView", "local_store_view", "local_zone_update"]
 
 
 @attrs.frozen
-class Known:
+class StoreView:
     """An entry's view of the store, sent as the answer to another entry.
 
     Attributes:
@@ -86,14 +86,14 @@
     return age_s + 0.001
 
 
-def zones_here(state: EntryState) -> ZoneUpdate:
+def local_zone_update(state: EntryState) -> ZoneUpdate:
     """Return the availability zones that this entry treats as evacuated."""
     return ZoneUpdate(state.evacuations.position, tuple(state.evacuations.zones))
 
 
-def known_here(
+def local_store_view(
     state: EntryState, endpoints: EndpointWatcher, version: int, offset: int
-) -> Known | None:
+) -> StoreView | None:
     """Return what this entry has and the asking one lacks; None before the first read.
 
     Args:
@@ -107,11 +107,11 @@
     age_s, endpoints_age_s = state.lease.age_s(now_s), endpoints.known.age_s(now_s)
     if config is None or endpoints.offset is None or max(age_s, endpoints_age_s) == float("inf"):
         return None
-    return Known(
+    return StoreView(
         config.version,
         age_s,
         endpoints_age_s,
-        zones_here(state),
+        local_zone_update(state),
         state.config_record if config.version > version else None,
         endpoints.offset,
         endpoints.records() if endpoints.offset > offset else None,
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.known import Known, known_here
+from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.messages import HttpRequest
 from beryljunction.gateway.news import News
@@ -76,7 +76,7 @@
         if asked is None:
             connection.answer(404, [], b"")
             return
-        known = known_here(self._state, self._endpoints, *asked)
+        known = local_store_view(self._state, self._endpoints, *asked)
         if known is None:
             connection.answer(503, [], b"")
             return
@@ -120,7 +120,7 @@
     """Sends requests to another entry."""
 
     @abc.abstractmethod
-    async def ask(self, address: Address, version: int, offset: int) -> Known | str:
+    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what it has beyond this version and offset, or why there is no answer."""
 
     @abc.abstractmethod
@@ -165,7 +165,7 @@
             return None
         return response.content if response.status == 200 else None
 
-    async def ask(self, address: Address, version: int, offset: int) -> Known | str:
+    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what it has beyond this version and offset, or why there is no answer."""
         url = f"http://{address[0]}:{address[1]}{_format_query(version, offset)}"
         try:
@@ -174,7 +174,7 @@
                     response = await pool.request("GET", url, headers={"connection": "close"})
             if response.status != 200:
                 return f"expected status 200, got {response.status}"
-            return Known.decode(response.content)
+            return StoreView.decode(response.content)
         except (TimeoutError, ValueError, *_TRANSPORT_ERRORS) as error:
             return f"{type(error).__name__} {error}".strip()
 
@@ -220,26 +220,30 @@
         asked_s = boot_time_s()
         version = self._state.config.version if self._state.config is not None else 0
         answer = await self._link.ask(address, version, self._endpoints.offset or 0)
-        has_confirmed = isinstance(answer, Known) and self._apply_known(host, answer, asked_s)
+        has_confirmed = isinstance(answer, StoreView) and self._apply_store_view(
+            host, answer, asked_s
+        )
         self._peers.note(host, has_confirmed, boot_time_s())
         self._log_peer_confirmation(host if has_confirmed else "")
 
-    def _apply_known(self, host: str, known: Known, asked_s: float) -> bool:
+    def _apply_store_view(self, host: str, store_view: StoreView, asked_s: float) -> bool:
         """Apply a peer's answer; return whether the peer itself is in contact with the store."""
-        self._state.contact.note_update(asked_s - known.age_s, None, boot_time_s())
-        self._state.replace_evacuations(known.evacuations.zones, known.evacuations.position)
-        if known.config is not None:
-            self._config.take_from_peer(known.config)
-        if known.endpoints is not None:
-            self._endpoints.take_from_peer(known.offset, known.endpoints)
+        self._state.contact.note_update(asked_s - store_view.age_s, None, boot_time_s())
+        self._state.replace_evacuations(
+            store_view.evacuations.zones, store_view.evacuations.position
+        )
+        if store_view.config is not None:
+            self._config.take_from_peer(store_view.config)
+        if store_view.endpoints is not None:
+            self._endpoints.take_from_peer(store_view.offset, store_view.endpoints)
         config = self._state.config
-        if config is None or config.version < known.version:
+        if config is None or config.version < store_view.version:
             return False
         lease = self._state.lease
-        lease.confirm(asked_s - known.age_s)
-        self._endpoints.confirm_to(known.offset, asked_s - known.endpoints_age_s, host)
+        lease.confirm(asked_s - store_view.age_s)
+        self._endpoints.confirm_to(store_view.offset, asked_s - store_view.endpoints_age_s, host)
         self._state.news.set()
-        return not should_ask_peers(known.age_s, lease.revocation_s)
+        return not should_ask_peers(store_view.age_s, lease.revocation_s)
 
     def _log_peer_confirmation(self, host: str) -> None:
         """Log when peers start confirming the settings, and when this entry's reads work again.
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.known import zones_here
+from beryljunction.gateway.known import local_zone_update
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
@@ -213,7 +213,7 @@
             state.lease.confirmed_s - subscriber.replied_s,
             regained_s - subscriber.replied_s if is_announced else None,
             version,
-            zones_here(state),
+            local_zone_update(state),
             _progress(self._endpoints.position, self._endpoints.known, subscriber.replied_s),
             _progress(self._entries.position, self._entries.known, subscriber.replied_s),
             is_cut_short,
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -14,7 +14,7 @@
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.known import Known, known_here
+from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation, PeerLink
 from beryljunction.gateway.publishing import UpdatePublisher
@@ -136,9 +136,9 @@
         other = await self._reach(address)
         if other is None or other.endpoints is None:
             return "no answer"
-        known = known_here(other.state, other.endpoints, version, offset)
+        store_view = local_store_view(other.state, other.endpoints, version, offset)
         await anyio.sleep(DELAY_S)
-        return "nothing known" if known is None else Known.decode(known.encode())
+        return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
     async def tell(self, address, news):
         return False
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -8,7 +8,7 @@
 from beryljunction.gateway import following, known, peers, state
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.known import Known, known_here
+from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation, PeerLink
 from beryljunction.gateway.process import EntryProcess
@@ -25,13 +25,13 @@
 
 FAST = DeploymentBounds(revocation_ms=3_000)
 CONFIG = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []}).encode()
-KNOWN = Known(3, 0.5, 0.7, ZoneUpdate(9, ("a",)), b'{"\xff', 7, (Record("e1", b"\x00\xfe"),))
+KNOWN = StoreView(3, 0.5, 0.7, ZoneUpdate(9, ("a",)), b'{"\xff', 7, (Record("e1", b"\x00\xfe"),))
 
 
 class TestKnown:
     @pytest.mark.parametrize("known", [KNOWN, attrs.evolve(KNOWN, config=None, endpoints=None)])
     def test_round_trip_keeps_any_bytes_and_never_lowers_the_age(self, known):
-        again = Known.decode(known.encode())
+        again = StoreView.decode(known.encode())
 
         assert attrs.evolve(again, age_s=0.5, endpoints_age_s=0.7) == known
         assert again.age_s > known.age_s
@@ -52,12 +52,12 @@
         values = json.loads(KNOWN.encode()) | change
 
         with pytest.raises(ValueError):
-            Known.decode(json.dumps(values).encode())
+            StoreView.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff"])
     def test_malformed_message_is_an_error(self, data):
         with pytest.raises(ValueError):
-            Known.decode(data)
+            StoreView.decode(data)
 
 
 class TestShouldAskPeers:
@@ -145,8 +145,8 @@
         self.peers = PeerConfirmation(self, self.state, self.config, self.endpoints, self.table)
 
     async def ask(self, address, version, offset):
-        known = known_here(self.other.state, self.other.endpoints, version, offset)
-        return Known.decode(known.encode()) if known is not None else "nothing known"
+        known = local_store_view(self.other.state, self.other.endpoints, version, offset)
+        return StoreView.decode(known.encode()) if known is not None else "nothing known"
 
     async def tell(self, address, moved):
         return False
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -18,7 +18,7 @@
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter, StreamEvent
-from beryljunction.gateway.known import Known
+from beryljunction.gateway.known import StoreView
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import headers
@@ -55,8 +55,8 @@
 
 
 def age_lost_between_peers(patch):
-    decode = Known.decode
-    patch.setattr(Known, "decode", lambda data: attrs.evolve(decode(data), age_s=0.0))
+    decode = StoreView.decode
+    patch.setattr(StoreView, "decode", lambda data: attrs.evolve(decode(data), age_s=0.0))
 
 
 def age_without_suspensions(patch):
