--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -41,8 +41,8 @@
     """Keeps the settings in force and their lease up to date.
 
     Attributes:
-        is_known: Set after the first successful read of the store.
-        told_by: Host of the entry that last confirmed the settings to this one.
+        loaded: Set after the first successful read of the store.
+        confirmed_by: Host of the entry that last confirmed the settings to this one.
     """
 
     def __init__(
@@ -54,10 +54,10 @@
         self._schedule = schedule
         self._announced_version = -1
         self._has_last_read_failed = False
-        self.told_by = ""
+        self.confirmed_by = ""
         self._is_usable = True
         self._asked_s = -math.inf
-        self.is_known = anyio.Event()
+        self.loaded = anyio.Event()
 
     async def run(self) -> None:
         """Follow the settings until cancelled.
@@ -67,7 +67,7 @@
         """
         while not await self.confirm():
             await anyio.sleep(FAILED_PAUSE_S)
-        self.is_known.set()
+        self.loaded.set()
         async with anyio.create_task_group() as group:
             group.start_soon(self._confirm_periodically)
             group.start_soon(self._long_poll_as_reader)
@@ -86,7 +86,7 @@
     async def _long_poll_as_reader(self) -> None:
         while True:
             await self._schedule.wait_for_reader()
-            if not await paced(self.wait, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
+            if not await paced(self.long_poll, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
                 await rest_until_back(self._state.contact)
 
     def _effective_age_s(self, now_s: float) -> float:
@@ -104,7 +104,7 @@
         self._has_last_read_failed = not is_read
         return is_read
 
-    async def wait(self) -> bool:
+    async def long_poll(self) -> bool:
         """Long poll for changes of the settings."""
         is_read = await self._read_once(_CONFIG_WAIT_MS)
         self._has_last_read_failed = not is_read
@@ -118,7 +118,7 @@
         """
         return now_s - self._asked_s
 
-    def is_turned_away(self, now_s: float) -> bool:
+    def is_rejected_by_store(self, now_s: float) -> bool:
         """Return whether this entry needs to read the store and its last read failed.
 
         A read that is only late does not count, since the host may be busy.
@@ -140,11 +140,11 @@
         self._announced_version = max(self._announced_version, version)
         config = self._state.config
         if config is not None and config.version >= version:
-            self.told_by = host
+            self.confirmed_by = host
             self._asked_s = max(self._asked_s, asked_s)
             self._state.lease.confirm(asked_s)
 
-    def take_from_peer(self, value: bytes) -> None:
+    def apply_from_peer(self, value: bytes) -> None:
         """Apply settings that another entry has read; older ones change nothing."""
         self._apply_version(value)
 
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -20,7 +20,7 @@
     """Keeps the registry of endpoints up to date.
 
     Attributes:
-        is_known: Set after the first successful read of the store.
+        loaded: Set after the first successful read of the store.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self._announced_end = -1
         self._failures = 0
         self._values: dict[str, bytes] = {}
-        self.is_known = anyio.Event()
+        self.loaded = anyio.Event()
 
     @property
     def offset(self) -> int | None:
@@ -53,7 +53,7 @@
         known = self._state.registry.find(endpoint_id)
         return known is not None and known.kept_until_s is None
 
-    def take_from_peer(self, offset: int, records: Iterable[Record]) -> None:
+    def apply_from_peer(self, offset: int, records: Iterable[Record]) -> None:
         """Apply the full list of an entry that has read further."""
         self.apply_update(TopicUpdate(tuple(records), None, offset))
 
@@ -74,7 +74,7 @@
         """Record that another entry knew the records to end at a position when it asked."""
         self._topic.confirm_to(end, asked_s, source)
 
-    def note_behind(self, end: int) -> None:
+    def mark_behind(self, end: int) -> None:
         """Record that there are records up to a position that have to be read from the store."""
         self._announced_end = max(self._announced_end, end)
 
@@ -113,7 +113,7 @@
         )
         if done:
             self._failures = 0
-            self.is_known.set()
+            self.loaded.set()
         else:
             self._failures += 1
         return done
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -211,7 +211,7 @@
         """Ask one peer if the last confirmation is so old that the store seems unreachable."""
         lease = self._state.lease
         if not should_ask_peers(self._config.age_s(boot_time_s()), lease.revocation_s):
-            self._log_peer_confirmation(self._config.told_by)
+            self._log_peer_confirmation(self._config.confirmed_by)
             return
         chosen = self._peers.choose(boot_time_s())
         if chosen is None:
@@ -233,9 +233,9 @@
             store_view.evacuations.zones, store_view.evacuations.position
         )
         if store_view.config is not None:
-            self._config.take_from_peer(store_view.config)
+            self._config.apply_from_peer(store_view.config)
         if store_view.endpoints is not None:
-            self._endpoints.take_from_peer(store_view.offset, store_view.endpoints)
+            self._endpoints.apply_from_peer(store_view.offset, store_view.endpoints)
         config = self._state.config
         if config is None or config.version < store_view.version:
             return False
@@ -251,8 +251,8 @@
         Args:
             host: The entry that confirmed them just now; empty if there was none.
         """
-        is_turned_away = self._config.is_turned_away(boot_time_s())
-        is_peer_confirmed = is_turned_away and (bool(host) or self._is_peer_confirmed)
+        is_rejected_by_store = self._config.is_rejected_by_store(boot_time_s())
+        is_peer_confirmed = is_rejected_by_store and (bool(host) or self._is_peer_confirmed)
         if is_peer_confirmed != self._is_peer_confirmed:
             self._is_peer_confirmed = is_peer_confirmed
             event = "settings_by_peer" if is_peer_confirmed else "settings_by_peer_ended"
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -209,8 +209,8 @@
             group.start_soon(config.run)
             group.start_soon(endpoints.run)
             with anyio.move_on_after(_FIRST_READ_TIMEOUT_S):
-                await config.is_known.wait()
-                await endpoints.is_known.wait()
+                await config.loaded.wait()
+                await endpoints.loaded.wait()
             listener = await _serve(frontend, callers)
             group.start_soon(frontend.close_expired_connections)
             group.start_soon(self._watch_settings_file)
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -71,7 +71,7 @@
         self._confirm(self._endpoints, update.endpoints_progress, update)
         self._confirm(self._entries, update.entries_progress, update)
         if update.is_cut_short:
-            self._endpoints.note_behind(update.endpoints_progress.end)
+            self._endpoints.mark_behind(update.endpoints_progress.end)
         self._config.apply_update(update.host, update.version, update.config, asked_s)
         self._state.news.set()
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -133,8 +133,8 @@
         self.state = EntryState(host, EntryEventLog(name, "a", lines))
         self.config = ConfigWatcher(NoStore(), self.state)
         self.endpoints = EndpointWatcher(NoStore(), self.state)
-        self.config.take_from_peer(CONFIG)
-        self.endpoints.take_from_peer(1, ())
+        self.config.apply_from_peer(CONFIG)
+        self.endpoints.apply_from_peer(1, ())
         self.state.lease.confirm(0.0)
         self.config._asked_s = 0.0
         self.table = PeerTable(random.Random(1))
@@ -186,7 +186,7 @@
         for module in (peers, known):
             monkeypatch.setattr(module, "boot_time_s", lambda: 3.0)
         one, two = Entry("one", CapturedLog()), Entry("two", CapturedLog())
-        two.config.take_from_peer(CONFIG.replace(b"3", b"8"))
+        two.config.apply_from_peer(CONFIG.replace(b"3", b"8"))
         two.state.lease.confirm(2.9)
         two.state.config_record = b"unreadable"
         one.ask_peer(two)
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -363,7 +363,7 @@
         assert reads == [0, 1, 2]
 
 
-class TestIsTurnedAway:
+class TestIsRejectedByStore:
     def test_only_a_failed_read_counts(self):
         """Guards against reporting a fault of the store when a busy host only reads late."""
         store = ReadCountingStore()
@@ -373,17 +373,17 @@
         async def run():
             await follow.confirm()
             later_s = boot_time_s() + 3.0
-            seen.append(follow.is_turned_away(later_s))
+            seen.append(follow.is_rejected_by_store(later_s))
             store.is_away = True
             await follow.confirm()
-            seen.append(follow.is_turned_away(later_s))
+            seen.append(follow.is_rejected_by_store(later_s))
             follow.apply_update("other", 3, None, later_s)
-            seen.append(follow.is_turned_away(later_s))
+            seen.append(follow.is_rejected_by_store(later_s))
             store.is_away = False
             await follow.confirm()
-            seen.append(follow.is_turned_away(later_s))
+            seen.append(follow.is_rejected_by_store(later_s))
 
         anyio.run(run)
 
         assert seen == [False, True, True, False]
-        assert follow.told_by == "other"
+        assert follow.confirmed_by == "other"
