--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -46,7 +46,7 @@
     ) -> None:
         """Write that the request was sent to an endpoint, with the values behind that choice."""
         parts = placement_request.parts.ids
-        known = self._state.endpoints_known
+        known = self._state.endpoints_confirmation
         self.write(
             "sent",
             route=route.name,
--- a/src/beryljunction/gateway/known.py
+++ b/src/beryljunction/gateway/known.py
@@ -104,7 +104,7 @@
     """
     config = state.config
     now_s = boot_time_s()
-    age_s, endpoints_age_s = state.lease.age_s(now_s), endpoints.known.age_s(now_s)
+    age_s, endpoints_age_s = state.lease.age_s(now_s), endpoints.confirmation.age_s(now_s)
     if config is None or endpoints.offset is None or max(age_s, endpoints_age_s) == float("inf"):
         return None
     return StoreView(
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -26,7 +26,7 @@
     def __init__(
         self, store: Store, state: EntryState, schedule: PollSchedule = ALWAYS_POLL
     ) -> None:
-        self._topic = TopicReader(store, state, ENDPOINT_RECORDS, state.endpoints_known)
+        self._topic = TopicReader(store, state, ENDPOINT_RECORDS, state.endpoints_confirmation)
         self._state = state
         self._schedule = schedule
         self._announced_end = -1
@@ -66,13 +66,13 @@
         self._topic.apply_update(update, self._apply_snapshot, self._apply_records)
 
     @property
-    def known(self) -> Confirmation:
+    def confirmation(self) -> Confirmation:
         """Time up to which the records are known to be complete."""
-        return self._topic.known
+        return self._topic.confirmation
 
-    def confirm_to(self, end: int, asked_s: float, source: str) -> None:
+    def confirm_up_to(self, end: int, asked_s: float, source: str) -> None:
         """Record that another entry knew the records to end at a position when it asked."""
-        self._topic.confirm_to(end, asked_s, source)
+        self._topic.confirm_up_to(end, asked_s, source)
 
     def mark_behind(self, end: int) -> None:
         """Record that there are records up to a position that have to be read from the store."""
@@ -85,7 +85,7 @@
 
     def _effective_age_s(self, now_s: float) -> float:
         is_behind = self.position < self._announced_end
-        return math.inf if is_behind else self.known.age_s(now_s)
+        return math.inf if is_behind else self.confirmation.age_s(now_s)
 
     async def run(self) -> None:
         """Follow the records until cancelled.
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -86,7 +86,7 @@
         metrics.add_gauge(
             "beryl_endpoints_age_seconds",
             "Age of the last confirmation of the endpoints' records.",
-            lambda: state.endpoints_known.age_s(boot_time_s()),
+            lambda: state.endpoints_confirmation.age_s(boot_time_s()),
         )
         metrics.add_gauge(
             "beryl_settings_version",
@@ -143,7 +143,7 @@
             availability_zone=self._host.availability_zone,
             settings_version=state.config.version if state.config is not None else 0,
             settings_age_s=_rounded_age_s(state.lease.age_s(now_s)),
-            endpoints_age_s=_rounded_age_s(state.endpoints_known.age_s(now_s)),
+            endpoints_age_s=_rounded_age_s(state.endpoints_confirmation.age_s(now_s)),
             not_ready="" if self._is_ready() else self._not_ready_reason(),
             endpoints=len(state.registry),
             in_flight=frontend.in_flight,
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -188,8 +188,8 @@
         zones = state.evacuations.position
         times = (
             state.lease.confirmed_s,
-            self._endpoints.known.asked_s,
-            self._entries.known.asked_s,
+            self._endpoints.confirmation.asked_s,
+            self._entries.confirmation.asked_s,
         )
         return _KnownPositions(state.config.version, zones, *offsets, *times)
 
@@ -214,8 +214,8 @@
             regained_s - subscriber.replied_s if is_announced else None,
             version,
             local_zone_update(state),
-            _progress(self._endpoints.position, self._endpoints.known, subscriber.replied_s),
-            _progress(self._entries.position, self._entries.known, subscriber.replied_s),
+            _progress(self._endpoints.position, self._endpoints.confirmation, subscriber.replied_s),
+            _progress(self._entries.position, self._entries.confirmation, subscriber.replied_s),
             is_cut_short,
             state.config_record if is_sent else None,
             None if is_cut_short else endpoints,
@@ -223,6 +223,8 @@
         )
 
 
-def _progress(end: int, known: Confirmation, replied_s: float) -> Progress:
+def _progress(end: int, confirmation: Confirmation, replied_s: float) -> Progress:
     """Return how far records are known, with the time relative to a subscriber's last reply."""
-    return Progress(end, known.asked_s - replied_s if math.isfinite(known.asked_s) else None)
+    return Progress(
+        end, confirmation.asked_s - replied_s if math.isfinite(confirmation.asked_s) else None
+    )
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -81,7 +81,7 @@
     ) -> None:
         if progress.confirmed_s is not None:
             asked_s = update.clock_s + progress.confirmed_s
-            records.confirm_to(progress.end, asked_s, update.host)
+            records.confirm_up_to(progress.end, asked_s, update.host)
 
     def _reply(self) -> Reply:
         config = self._state.config
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -55,7 +55,7 @@
         self._schedule = schedule
         self._store = store
         self._host = state.host.host
-        self._topic = TopicReader(store, state, ENTRY_ADDRESSES, state.addresses_known)
+        self._topic = TopicReader(store, state, ENTRY_ADDRESSES, state.addresses_confirmation)
         self._is_known_incomplete = False
         self._rewrite_needed = Signal()
         self._lost_records: list[Record] = []
@@ -99,19 +99,19 @@
         self._is_known_incomplete = True
 
     @property
-    def known(self) -> Confirmation:
+    def confirmation(self) -> Confirmation:
         """Time up to which the addresses are known to be complete."""
-        return self._topic.known
+        return self._topic.confirmation
 
-    def confirm_to(self, end: int, asked_s: float, source: str) -> None:
+    def confirm_up_to(self, end: int, asked_s: float, source: str) -> None:
         """Record that another entry knew the addresses to end at a position when it asked."""
-        self._topic.confirm_to(end, asked_s, source)
+        self._topic.confirm_up_to(end, asked_s, source)
 
     def _effective_age_s(self, now_s: float) -> float:
         """Return the age of the list; infinite if it is known to be incomplete."""
         is_restored = era_of(max(0, self.position)) < self._state.era
         is_incomplete = self._is_known_incomplete or is_restored
-        return math.inf if is_incomplete else self.known.age_s(now_s)
+        return math.inf if is_incomplete else self.confirmation.age_s(now_s)
 
     @property
     def offset(self) -> int | None:
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -53,8 +53,8 @@
         config_record: The settings in force as the operator wrote them.
         bounds: Limits that the deployment guarantees, as in force.
         mechanisms: Which optional routing mechanisms are enabled.
-        endpoints_known: Time up to which the endpoint records are known to be complete.
-        addresses_known: Time up to which the addresses of entries are known to be complete.
+        endpoints_confirmation: Time up to which the endpoint records are known to be complete.
+        addresses_confirmation: Time up to which the addresses of entries are known to be complete.
         contact: When the store last answered, and when it became reachable again.
         evacuations: Availability zones that get no new requests.
         cold: This entry's share of the requests to endpoints that are warming up.
@@ -71,8 +71,8 @@
         self.config: FleetConfig | None = None
         self.config_record = b""
         self.lease = SettingsLease(bounds.revocation_ms / 1000)
-        self.endpoints_known = Confirmation()
-        self.addresses_known = Confirmation()
+        self.endpoints_confirmation = Confirmation()
+        self.addresses_confirmation = Confirmation()
         self.contact = StoreReachability(2 * bounds.heartbeat_ms / 1000)
         self.registry = EndpointRegistry(self.contact)
         self.evacuations = Evacuations()
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -35,16 +35,20 @@
     """Reads a snapshot of a topic, then its changes; starts over when the history has expired.
 
     Attributes:
-        known: Time up to which the records are known to be complete.
+        confirmation: Time up to which the records are known to be complete.
 
     """
 
     def __init__(
-        self, store: Store, state: EntryState, topic: Topic, known: Confirmation | None = None
+        self,
+        store: Store,
+        state: EntryState,
+        topic: Topic,
+        confirmation: Confirmation | None = None,
     ) -> None:
         self._store = store
         self.state = state
-        self.known = Confirmation() if known is None else known
+        self.confirmation = Confirmation() if confirmation is None else confirmation
         self._topic = topic
         self._offset: int | None = None
         self._recent: collections.deque[Record] = collections.deque()
@@ -92,7 +96,7 @@
             self._apply_snapshot(answer.records, answer.next_position, take_all)
         elif isinstance(answer, Records):
             self._append(answer.records, answer.next_position, take)
-        self.known.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
+        self.confirmation.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
         self.state.news.set()
         return True
 
@@ -116,13 +120,13 @@
         if not self._store.is_receiving(self._topic):
             read.cancel()
 
-    def confirm_to(self, end: int, asked_s: float, source: str) -> None:
+    def confirm_up_to(self, end: int, asked_s: float, source: str) -> None:
         """Record that another entry knew the records to end at a position when it asked.
 
         This changes nothing while this entry lacks some of those records.
         """
         if self.position >= end:
-            self.known.confirm(asked_s, source)
+            self.confirmation.confirm(asked_s, source)
 
     def _apply_snapshot(self, records: Iterable[Record], end: int, take_all: Take) -> None:
         """Apply the newest record of each key, unless later records are known."""
