--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -8,7 +8,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.schedules import ALWAYS_POLL, FAILED_PAUSE_S, PollSchedule
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.topics import TopicReader, paced, rest_until_back
+from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
 from beryljunction.platform import (
     FLEET_CONFIG,
     FLEET_CONFIG_KEY,
@@ -77,7 +77,7 @@
             bound = self._state.settings_bound
             await self._schedule.wait(FLEET_CONFIG, bound, self._effective_age_s)
             if not self._schedule.is_first:
-                await paced(self.confirm, _MIN_READ_INTERVAL_S, self._schedule.failed_pause_s)
+                await run_paced(self.confirm, _MIN_READ_INTERVAL_S, self._schedule.failed_pause_s)
             elif await self.confirm():
                 await anyio.sleep(bound.until_confirm_s(boot_time_s()))
             else:
@@ -86,8 +86,8 @@
     async def _long_poll_as_reader(self) -> None:
         while True:
             await self._schedule.wait_for_reader()
-            if not await paced(self.long_poll, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
-                await rest_until_back(self._state.contact)
+            if not await run_paced(self.long_poll, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
+                await wait_for_store(self._state.contact)
 
     def _effective_age_s(self, now_s: float) -> float:
         """Return the age of the settings; infinite if newer ones are known to exist."""
@@ -150,7 +150,7 @@
 
     async def _read_once(self, wait_ms: int) -> bool:
         asked_s = boot_time_s()
-        if not await self._topic.step(wait_ms, self._apply_snapshot, self._apply_changes):
+        if not await self._topic.read_once(wait_ms, self._apply_snapshot, self._apply_changes):
             return False
         if self._is_usable:
             self._asked_s = max(self._asked_s, asked_s)
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -8,7 +8,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.schedules import ALWAYS_POLL, PollSchedule
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.topics import TopicReader, paced, rest_until_back
+from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import ENDPOINT_RECORDS, InvalidRecord, Record, Store, decode_endpoint
 from beryljunction.routing import Confirmation
@@ -96,19 +96,19 @@
         while True:
             bound = self._state.endpoints_bound
             await self._schedule.wait(ENDPOINT_RECORDS, bound, self._effective_age_s)
-            if await paced(self.step, bound.read_interval_s, 0.0):
+            if await run_paced(self.read_once, bound.read_interval_s, 0.0):
                 continue
             # A single lost answer doesn't mean that the store is down; back off after the second.
             if self._failures > 1:
-                await rest_until_back(self._state.contact)
+                await wait_for_store(self._state.contact)
 
-    async def step(self) -> bool:
+    async def read_once(self) -> bool:
         """Read once."""
         bound = self._state.endpoints_bound
         wait_s = bound.until_confirm_s(boot_time_s()) if self._schedule.is_first else 0.0
         # After a failure, use the store client's longer timeout, for a slow store or link.
         timeout_s = None if self._failures else bound.answer_timeout_s
-        done = await self._topic.step(
+        done = await self._topic.read_once(
             round(wait_s * 1000), self._apply_snapshot, self._apply_records, timeout_s
         )
         if done:
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -9,7 +9,7 @@
 from beryljunction.gateway.schedules import ALWAYS_POLL, PollSchedule
 from beryljunction.gateway.signals import Signal
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.topics import TopicReader, paced, rest_until_back
+from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import (
     ENTRY_ADDRESSES,
@@ -66,15 +66,15 @@
     async def run(self) -> None:
         """Register the address, then follow the topic until cancelled."""
         await self._write(Record(self._host, self._address))
-        while not await self.step():
+        while not await self.read_once():
             await anyio.sleep(_READ_RETRY_PAUSE_S)
         async with anyio.create_task_group() as group:
             group.start_soon(self._rewrite_lost_records)
             while True:
                 bound = self._state.addresses_bound
                 await self._schedule.wait(ENTRY_ADDRESSES, bound, self._effective_age_s)
-                if not await paced(self.step, _MIN_READ_INTERVAL_S, 0.0):
-                    await rest_until_back(self._state.contact, _READ_RETRY_PAUSE_S)
+                if not await run_paced(self.read_once, _MIN_READ_INTERVAL_S, 0.0):
+                    await wait_for_store(self._state.contact, _READ_RETRY_PAUSE_S)
 
     async def _write(self, record: Record) -> None:
         pause_s = _WRITE_RETRY_PAUSE_S
@@ -137,11 +137,11 @@
         others = tuple(Record(host, format_address(address)) for host, address in rows)
         return (Record(self._host, self._address), *others, *self._state.quarantine.records())
 
-    async def step(self) -> bool:
+    async def read_once(self) -> bool:
         """Read once."""
         bound = self._state.addresses_bound
         wait_s = bound.confirm_interval_s if self._schedule.is_first else 0.0
-        is_read = await self._topic.step(
+        is_read = await self._topic.read_once(
             round(wait_s * 1000), self._apply_snapshot, self._apply_changes
         )
         if is_read:
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -21,14 +21,14 @@
 )
 from beryljunction.routing import Confirmation, StoreReachability
 
-__all__ = ["Take", "TopicReader", "paced", "rest_until_back"]
+__all__ = ["ApplyRecords", "TopicReader", "run_paced", "wait_for_store"]
 
 # Longest pause of a reader that relies on another reader to find out when the store is back.
 _MAX_PAUSE_S = 2.0
 # Records kept for downstream entries; one that lacks more gets the newest record of each key.
 _MAX_RECENT_RECORDS = 256
 
-Take = Callable[[Iterable[Record]], None]
+ApplyRecords = Callable[[Iterable[Record]], None]
 
 
 class TopicReader:
@@ -56,19 +56,19 @@
         self._snapshot_end: int | None = None
         self._is_store_lost = False
 
-    async def step(
+    async def read_once(
         self,
         wait_ms: int,
-        take_all: Take,
-        take: Take,
+        apply_snapshot: ApplyRecords,
+        apply_changes: ApplyRecords,
         answer_timeout_s: float | None = None,
     ) -> bool:
         """Read once; return False if there was no usable answer.
 
         Args:
             wait_ms: How long the store may hold the request until there is a record.
-            take_all: Called with the newest record of each key.
-            take: Called with the records that follow the known ones.
+            apply_snapshot: Called with the newest record of each key.
+            apply_changes: Called with the records that follow the known ones.
             answer_timeout_s: Time for the response to begin after `wait_ms`; None for the store
                 client's own limit.
         """
@@ -88,14 +88,14 @@
             if self._offset == asked:
                 self.state.events.write("history_expired", topic=self._topic.name, offset=asked)
                 self._offset = None
-            return await self.step(wait_ms, take_all, take, answer_timeout_s)
+            return await self.read_once(wait_ms, apply_snapshot, apply_changes, answer_timeout_s)
         self._log_store_regained()
         now_s = boot_time_s()
         self.state.contact.note_answer(asked_s, now_s)
         if isinstance(answer, NewestRecords):
-            self._apply_snapshot(answer.records, answer.next_position, take_all)
+            self._apply_snapshot(answer.records, answer.next_position, apply_snapshot)
         elif isinstance(answer, Records):
-            self._append(answer.records, answer.next_position, take)
+            self._append(answer.records, answer.next_position, apply_changes)
         self.confirmation.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
         self.state.news.set()
         return True
@@ -128,7 +128,9 @@
         if self.position >= end:
             self.confirmation.confirm(asked_s, source)
 
-    def _apply_snapshot(self, records: Iterable[Record], end: int, take_all: Take) -> None:
+    def _apply_snapshot(
+        self, records: Iterable[Record], end: int, apply_snapshot: ApplyRecords
+    ) -> None:
         """Apply the newest record of each key, unless later records are known."""
         if self._offset is not None and end < self._offset:
             return
@@ -137,10 +139,10 @@
         self.state.era = max(self.state.era, era_of(end))
         self._offset = self._recent_start = self._snapshot_end = end
         self._recent.clear()
-        take_all(records)
+        apply_snapshot(records)
         self.state.news.set()
 
-    def _append(self, records: Sequence[Record], end: int, take: Take) -> None:
+    def _append(self, records: Sequence[Record], end: int, apply_changes: ApplyRecords) -> None:
         """Apply records that start at or before the known end.
 
         Records before the known end are skipped: an answer that arrives after a newer update from
@@ -155,7 +157,7 @@
         while len(self._recent) > _MAX_RECENT_RECORDS:
             self._recent.popleft()
         self._recent_start = end - len(self._recent)
-        take(new)
+        apply_changes(new)
         self.state.news.set()
 
     def update_since(
@@ -175,13 +177,15 @@
         first = len(self._recent) - (end - offset)
         return TopicUpdate(tuple(self._recent)[first:], offset, end)
 
-    def apply_update(self, update: TopicUpdate, take_all: Take, take: Take) -> None:
+    def apply_update(
+        self, update: TopicUpdate, apply_snapshot: ApplyRecords, apply_changes: ApplyRecords
+    ) -> None:
         """Apply records that another entry has read, unless records before them are missing."""
         if update.first is None:
             if self._offset is None or update.end > self._offset:
-                self._apply_snapshot(update.records, update.end, take_all)
+                self._apply_snapshot(update.records, update.end, apply_snapshot)
         elif self._offset is not None and update.first <= self._offset:
-            self._append(update.records, update.end, take)
+            self._append(update.records, update.end, apply_changes)
 
     @property
     def offset(self) -> int | None:
@@ -221,25 +225,25 @@
     return asked_s + wait_s if is_waited_out else asked_s
 
 
-async def rest_until_back(reachability: StoreReachability, longest_s: float = _MAX_PAUSE_S) -> None:
+async def wait_for_store(reachability: StoreReachability, timeout_s: float = _MAX_PAUSE_S) -> None:
     """Pause after a failed read until another read succeeds, or for a limited time.
 
     Readers that take turns are enough to find out when the store is back, and each refused call
     costs money.
     """
     failed_s = boot_time_s()
-    while reachability.confirmed_s < failed_s and boot_time_s() - failed_s < longest_s:
+    while reachability.confirmed_s < failed_s and boot_time_s() - failed_s < timeout_s:
         await anyio.sleep(FAILED_PAUSE_S)
 
 
-async def paced(
+async def run_paced(
     step: Callable[[], Awaitable[bool]],
-    distance_s: float,
+    interval_s: float,
     failed_pause_s: float = FAILED_PAUSE_S,
 ) -> bool:
-    """Run a step and sleep so that steps start at least `distance_s` apart; return its result."""
+    """Run a step and sleep so that steps start at least `interval_s` apart; return its result."""
     started_s = boot_time_s()
     done = await step()
-    rest_s = started_s + distance_s - boot_time_s() if done else failed_pause_s
+    rest_s = started_s + interval_s - boot_time_s() if done else failed_pause_s
     await anyio.sleep(max(0.0, rest_s))
     return done
