--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -6,7 +6,7 @@
 import anyio
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.schedules import ALWAYS_POLL, FAILED_PAUSE_S, PollSchedule
+from beryljunction.gateway.schedules import ALWAYS_POLL, RETRY_PAUSE_S, PollSchedule
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
 from beryljunction.platform import (
@@ -66,7 +66,7 @@
         a second on a link of 5 Mbit/s, and concurrent reads would slow each other down.
         """
         while not await self.confirm():
-            await anyio.sleep(FAILED_PAUSE_S)
+            await anyio.sleep(RETRY_PAUSE_S)
         self.loaded.set()
         async with anyio.create_task_group() as group:
             group.start_soon(self._confirm_periodically)
@@ -75,8 +75,8 @@
     async def _confirm_periodically(self) -> None:
         while True:
             bound = self._state.settings_bound
-            await self._schedule.wait(FLEET_CONFIG, bound, self._effective_age_s)
-            if not self._schedule.is_first:
+            await self._schedule.wait_until_due(FLEET_CONFIG, bound, self._effective_age_s)
+            if not self._schedule.is_first_reader:
                 await run_paced(self.confirm, _MIN_READ_INTERVAL_S, self._schedule.failed_pause_s)
             elif await self.confirm():
                 await anyio.sleep(bound.until_confirm_s(boot_time_s()))
@@ -85,7 +85,7 @@
 
     async def _long_poll_as_reader(self) -> None:
         while True:
-            await self._schedule.wait_for_reader()
+            await self._schedule.wait_until_reader()
             if not await run_paced(self.long_poll, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
                 await wait_for_store(self._state.contact)
 
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -95,7 +95,7 @@
         """
         while True:
             bound = self._state.endpoints_bound
-            await self._schedule.wait(ENDPOINT_RECORDS, bound, self._effective_age_s)
+            await self._schedule.wait_until_due(ENDPOINT_RECORDS, bound, self._effective_age_s)
             if await run_paced(self.read_once, bound.read_interval_s, 0.0):
                 continue
             # A single lost answer doesn't mean that the store is down; back off after the second.
@@ -105,7 +105,7 @@
     async def read_once(self) -> bool:
         """Read once."""
         bound = self._state.endpoints_bound
-        wait_s = bound.until_confirm_s(boot_time_s()) if self._schedule.is_first else 0.0
+        wait_s = bound.until_confirm_s(boot_time_s()) if self._schedule.is_first_reader else 0.0
         # After a failure, use the store client's longer timeout, for a slow store or link.
         timeout_s = None if self._failures else bound.answer_timeout_s
         done = await self._topic.read_once(
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -72,7 +72,7 @@
             group.start_soon(self._rewrite_lost_records)
             while True:
                 bound = self._state.addresses_bound
-                await self._schedule.wait(ENTRY_ADDRESSES, bound, self._effective_age_s)
+                await self._schedule.wait_until_due(ENTRY_ADDRESSES, bound, self._effective_age_s)
                 if not await run_paced(self.read_once, _MIN_READ_INTERVAL_S, 0.0):
                     await wait_for_store(self._state.contact, _READ_RETRY_PAUSE_S)
 
@@ -140,13 +140,13 @@
     async def read_once(self) -> bool:
         """Read once."""
         bound = self._state.addresses_bound
-        wait_s = bound.confirm_interval_s if self._schedule.is_first else 0.0
+        wait_s = bound.confirm_interval_s if self._schedule.is_first_reader else 0.0
         is_read = await self._topic.read_once(
             round(wait_s * 1000), self._apply_snapshot, self._apply_changes
         )
         if is_read:
             self._is_known_incomplete = False
-        if self._schedule.is_first:
+        if self._schedule.is_first_reader:
             await self._remove_expired()
         return is_read
 
@@ -173,7 +173,7 @@
         Each entry rewrites its own address; the first reader also rewrites quarantined requests.
         """
         own = [Record(self._host, self._address)]
-        if self._schedule.is_first:
+        if self._schedule.is_first_reader:
             own += self._state.quarantine.records()
         self._lost_records = [record for record in own if record.key not in keys]
         if self._lost_records:
--- a/src/beryljunction/gateway/schedules.py
+++ b/src/beryljunction/gateway/schedules.py
@@ -11,12 +11,12 @@
 from beryljunction.platform import Topic
 from beryljunction.routing import AgeBound
 
-__all__ = ["ALWAYS_POLL", "FAILED_PAUSE_S", "FanOutSchedule", "PollSchedule"]
+__all__ = ["ALWAYS_POLL", "RETRY_PAUSE_S", "FanOutSchedule", "PollSchedule"]
 
 # An entry checks at least this often whether it has become a reader or its data is too old.
 _CHECK_INTERVAL_S = 0.25
 # Pause after a failed read; short compared to the seconds after which settings are too old.
-FAILED_PAUSE_S = 0.25
+RETRY_PAUSE_S = 0.25
 _MAX_FAILED_PAUSE_S = 2.0
 # A fallback read of a topic is logged if there was none for this long.
 _STAND_IN_LOG_GAP_S = 5.0
@@ -31,7 +31,7 @@
 
     @property
     @abc.abstractmethod
-    def is_first(self) -> bool:
+    def is_first_reader(self) -> bool:
         """Whether this entry reads all the time; the store may hold its reads open."""
 
     @property
@@ -45,7 +45,7 @@
         """Pause after a failed read before the next attempt."""
 
     @abc.abstractmethod
-    async def wait(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
+    async def wait_until_due(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
         """Return once a read is due.
 
         Args:
@@ -55,7 +55,7 @@
         """
 
     @abc.abstractmethod
-    async def wait_for_reader(self) -> None:
+    async def wait_until_reader(self) -> None:
         """Return once this entry is one of the store's readers."""
 
 
@@ -63,7 +63,7 @@
     """Makes each entry read the store itself all the time."""
 
     @property
-    def is_first(self) -> bool:
+    def is_first_reader(self) -> bool:
         return True
 
     @property
@@ -72,12 +72,12 @@
 
     @property
     def failed_pause_s(self) -> float:
-        return FAILED_PAUSE_S
+        return RETRY_PAUSE_S
 
-    async def wait(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
+    async def wait_until_due(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
         pass
 
-    async def wait_for_reader(self) -> None:
+    async def wait_until_reader(self) -> None:
         pass
 
 
@@ -93,7 +93,7 @@
         self._last_read_s: dict[Topic, float] = {}
 
     @property
-    def is_first(self) -> bool:
+    def is_first_reader(self) -> bool:
         """Whether this entry reads all the time; the store may hold its reads open."""
         return self._state.fan_out.is_first_reader
 
@@ -106,9 +106,9 @@
     def failed_pause_s(self) -> float:
         """Pause after a failed read; it grows with the rank of the reader."""
         rank = self._state.fan_out.reader_rank
-        return min(_MAX_FAILED_PAUSE_S, FAILED_PAUSE_S * (1 + 2 * rank))
+        return min(_MAX_FAILED_PAUSE_S, RETRY_PAUSE_S * (1 + 2 * rank))
 
-    async def wait(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
+    async def wait_until_due(self, topic: Topic, bound: AgeBound, age_s: Age) -> None:
         """Return once a read is due."""
         fan_out = self._state.fan_out
         while not fan_out.is_first_reader:
@@ -127,7 +127,7 @@
             self._state.events.write("stands_in", topic=topic.name, age_s=age_s)
         self._last_read_s[topic] = now_s
 
-    async def wait_for_reader(self) -> None:
+    async def wait_until_reader(self) -> None:
         """Return once this entry is one of the store's readers."""
         while not self._state.fan_out.is_reader:
             await anyio.sleep(_CHECK_INTERVAL_S)
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -6,7 +6,7 @@
 import anyio
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.schedules import FAILED_PAUSE_S
+from beryljunction.gateway.schedules import RETRY_PAUSE_S
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import (
@@ -233,13 +233,13 @@
     """
     failed_s = boot_time_s()
     while reachability.confirmed_s < failed_s and boot_time_s() - failed_s < timeout_s:
-        await anyio.sleep(FAILED_PAUSE_S)
+        await anyio.sleep(RETRY_PAUSE_S)
 
 
 async def run_paced(
     step: Callable[[], Awaitable[bool]],
     interval_s: float,
-    failed_pause_s: float = FAILED_PAUSE_S,
+    failed_pause_s: float = RETRY_PAUSE_S,
 ) -> bool:
     """Run a step and sleep so that steps start at least `interval_s` apart; return its result."""
     started_s = boot_time_s()
