--- a/src/beryljunction/gateway/news.py
+++ b/src/beryljunction/gateway/news.py
@@ -23,13 +23,13 @@
 
     Attributes:
         host: Name of the sender's host.
-        life: Differs for each process start of the sender.
+        incarnation: Differs for each process start of the sender.
         moved: Sessions that are not at the endpoint where the receiver expects them.
         loads: Endpoints that have more load than their peers.
     """
 
     host: str
-    life: str
+    incarnation: str
     moved: tuple[MovedSession, ...] = ()
     loads: tuple[LoadSample, ...] = ()
 
@@ -37,7 +37,7 @@
         """Return it as JSON."""
         values = {
             "host": self.host,
-            "life": self.life,
+            "life": self.incarnation,
             "moved": [[*row.incarnation_id, *row.part_ids] for row in self.moved],
             "loads": [
                 [*row.incarnation_id, row.requests, round(row.age_s, 2)] for row in self.loads
@@ -58,7 +58,7 @@
             loads = read_rows(values["loads"], "loads")
             return cls(
                 host=read_text(values["host"]),
-                life=read_text(values["life"]),
+                incarnation=read_text(values["life"]),
                 moved=tuple(_decode_moved(*row) for row in moved),
                 loads=tuple(_decode_load(*row) for row in loads),
             )
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -49,7 +49,7 @@
             _CRASHES_PATH: self._apply_crashes,
         }
         if updates is not None:
-            self._message_handlers[UPDATE_PATH] = updates.take
+            self._message_handlers[UPDATE_PATH] = updates.apply
         self.limits = CallerLimits()
         self.is_draining = False
         self._state = state
@@ -96,7 +96,7 @@
 
     def _apply_news(self, body: bytes) -> bytes:
         news = News.decode(body)
-        self._peers.note_incarnation(news.host, news.life)
+        self._peers.note_incarnation(news.host, news.incarnation)
         self._state.learn(news.moved, news.loads)
         return b""
 
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -239,8 +239,8 @@
             return None
         peers = PeerTable(self._state.random)
         registration = Registration(store, self._state, peers, address, schedule)
-        life = f"{self._state.random.getrandbits(48):x}"
-        updates = UpdateReceiver(self._state, config, endpoints, registration, life)
+        incarnation = f"{self._state.random.getrandbits(48):x}"
+        updates = UpdateReceiver(self._state, config, endpoints, registration, incarnation)
         try:
             await _listen(PeerHandler(self._state, endpoints, peers, updates), address)
         except StartError as error:
@@ -253,7 +253,7 @@
         if self._state.mechanisms.shared_reads:
             publisher = UpdatePublisher(HttpUpdateLink(), self._state, endpoints, registration)
             group.start_soon(publisher.run)
-        group.start_soon(ShareNews(link, self._state, peers, life).run)
+        group.start_soon(ShareNews(link, self._state, peers, incarnation).run)
         group.start_soon(CrashReporter(link, store, self._state).run)
         return registration
 
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -166,7 +166,7 @@
         subscriber.replied_s = boot_time_s()
         # A reply from another process start of the subscriber acknowledges nothing. The first
         # message only learns which start it is.
-        is_same_start = subscriber.reply.life == update.life
+        is_same_start = subscriber.reply.incarnation == update.incarnation
         subscriber.acked = known if is_same_start else _KnownPositions()
         is_behind = (
             subscriber.reply.endpoints < known.endpoints or subscriber.reply.entries < known.entries
@@ -205,10 +205,10 @@
         regained_s = state.contact.recovered_s
         is_announced = boot_time_s() - regained_s < _REGAINED_ANNOUNCED_S
         endpoints = self._endpoints.update_since(reply.endpoints) if has_records else None
-        is_cut_short = endpoints is not None and endpoints.size_bytes > _MAX_RECORDS_BYTES
+        omits_endpoints = endpoints is not None and endpoints.size_bytes > _MAX_RECORDS_BYTES
         return Update(
             host,
-            reply.life,
+            reply.incarnation,
             reply.clock_s,
             state.lease.confirmed_s - subscriber.replied_s,
             regained_s - subscriber.replied_s if is_announced else None,
@@ -216,9 +216,9 @@
             local_zone_update(state),
             _progress(self._endpoints.position, self._endpoints.confirmation, subscriber.replied_s),
             _progress(self._entries.position, self._entries.confirmation, subscriber.replied_s),
-            is_cut_short,
+            omits_endpoints,
             state.config_record if is_sent else None,
-            None if is_cut_short else endpoints,
+            None if omits_endpoints else endpoints,
             self._entries.update_since(reply.entries) if has_records else None,
         )
 
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -18,7 +18,7 @@
     new, and a revoked key is not accepted.
 
     Args:
-        life: Differs for each process start of this entry.
+        incarnation: Differs for each process start of this entry.
     """
 
     def __init__(
@@ -27,15 +27,15 @@
         config: ConfigWatcher,
         endpoints: EndpointWatcher,
         entries: Registration,
-        life: str,
+        incarnation: str,
     ) -> None:
         self._state = state
         self._config = config
         self._endpoints = endpoints
         self._entries = entries
-        self._life = life
+        self._incarnation = incarnation
 
-    def take(self, message: bytes) -> bytes:
+    def apply(self, message: bytes) -> bytes:
         """Apply a message and return the encoded reply.
 
         Raises:
@@ -47,11 +47,11 @@
             raise ValueError(
                 f"expected an update from a listed entry, got one from {update.host!r}"
             )
-        if update.life == self._life:
-            self._apply(update)
+        if update.incarnation == self._incarnation:
+            self._apply_update(update)
         return self._reply().encode()
 
-    def _apply(self, update: Update) -> None:
+    def _apply_update(self, update: Update) -> None:
         asked_s = update.clock_s + update.confirmed_s
         regained_s = update.clock_s + (update.regained_s or 0.0)
         progress = (update.endpoints_progress, update.entries_progress)
@@ -70,7 +70,7 @@
             self._endpoints.apply_update(update.endpoints)
         self._confirm(self._endpoints, update.endpoints_progress, update)
         self._confirm(self._entries, update.entries_progress, update)
-        if update.is_cut_short:
+        if update.omits_endpoints:
             self._endpoints.mark_behind(update.endpoints_progress.end)
         self._config.apply_update(update.host, update.version, update.config, asked_s)
         self._state.news.set()
@@ -86,7 +86,7 @@
     def _reply(self) -> Reply:
         config = self._state.config
         return Reply(
-            self._life,
+            self._incarnation,
             boot_time_s(),
             config.version if config is not None else -1,
             self._endpoints.position,
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -27,7 +27,7 @@
     _link: PeerLink
     _state: EntryState
     _peers: PeerTable
-    _life: str
+    _incarnation: str
 
     async def run(self) -> None:
         """Send news to peers until cancelled."""
@@ -56,7 +56,7 @@
                 continue
             sent, end = unsent[:_MAX_MOVED_SESSIONS], moved.end - len(unsent[_MAX_MOVED_SESSIONS:])
             self._peers.take_turn(host)
-            news = News(self._state.host.host, self._life, sent, loads)
+            news = News(self._state.host.host, self._incarnation, sent, loads)
             if await self._link.tell(address, news.encode()):
                 self._peers.note_delivered(host, end)
             else:
--- a/src/beryljunction/gateway/updates.py
+++ b/src/beryljunction/gateway/updates.py
@@ -23,14 +23,14 @@
     """Reply of the receiving entry: which versions and positions it has, and when it replied.
 
     Attributes:
-        life: Differs for each process start of the receiver.
+        incarnation: Differs for each process start of the receiver.
         clock_s: The receiver's clock when it replied.
         version: Version of its settings.
         endpoints: Position that it has in the endpoint records; -1 for none.
         entries: Position that it has in the addresses of entries; -1 for none.
     """
 
-    life: str
+    incarnation: str
     clock_s: float
     version: int
     endpoints: int
@@ -48,9 +48,9 @@
             ValueError: The data is not a message of this kind.
         """
         try:
-            life, clock_s, version, endpoints, entries = json.loads(data)
+            incarnation, clock_s, version, endpoints, entries = json.loads(data)
             return cls(
-                read_text(life), _number(clock_s), int(version), int(endpoints), int(entries)
+                read_text(incarnation), _number(clock_s), int(version), int(endpoints), int(entries)
             )
         except (TypeError, ValueError) as error:
             raise ValueError(f"expected the answer to an update, got {error!r}") from error
@@ -140,7 +140,7 @@
 
     Attributes:
         host: Name of the sender's host.
-        life: Process start of the receiver, from its last reply; empty before the first.
+        incarnation: Process start of the receiver, from its last reply; empty before the first.
         clock_s: Clock of the receiver, from its last reply.
         confirmed_s: When the store was asked whether these settings are the newest.
         regained_s: When the store became reachable again; None if that was not recent.
@@ -148,7 +148,7 @@
         evacuations: Availability zones under evacuation.
         endpoints_progress: How far the sender has the endpoint records.
         entries_progress: How far the sender has the addresses of entries.
-        is_cut_short: Whether endpoint records were omitted because they are too large; the receiver
+        omits_endpoints: Whether endpoint records were omitted because they are too large; the receiver
             reads them from the store.
         config: The settings as the operator wrote them; None if they are omitted.
         endpoints: Endpoint records that the receiver lacks; None if there are none or they are
@@ -158,7 +158,7 @@
     """
 
     host: str
-    life: str
+    incarnation: str
     clock_s: float
     confirmed_s: float
     regained_s: float | None
@@ -166,7 +166,7 @@
     evacuations: ZoneUpdate = ZoneUpdate(-1, ())
     endpoints_progress: Progress = Progress()
     entries_progress: Progress = Progress()
-    is_cut_short: bool = False
+    omits_endpoints: bool = False
     config: bytes | None = None
     endpoints: TopicUpdate | None = None
     entries: TopicUpdate | None = None
@@ -177,8 +177,8 @@
         config = None if self.config is None else self.config.decode("latin-1")
         topics = [_encode_topic(self.endpoints), _encode_topic(self.entries)]
         progress = [self.endpoints_progress.encode(), self.entries_progress.encode()]
-        known = [self.version, self.evacuations.encode(), *progress, self.is_cut_short]
-        values = [self.host, self.life, *times, *known, config, *topics]
+        known = [self.version, self.evacuations.encode(), *progress, self.omits_endpoints]
+        values = [self.host, self.incarnation, *times, *known, config, *topics]
         return json.dumps(values, separators=(",", ":")).encode()
 
     @classmethod
@@ -189,12 +189,12 @@
             ValueError: The data is not a message of this kind.
         """
         try:
-            host, life, *rest, config, endpoints, entries = json.loads(data)
-            clock_s, confirmed_s, regained_s, version, zones, *progress, is_cut_short = rest
+            host, incarnation, *rest, config, endpoints, entries = json.loads(data)
+            clock_s, confirmed_s, regained_s, version, zones, *progress, omits_endpoints = rest
             endpoints_progress, entries_progress = map(Progress.decode, progress)
             return cls(
                 host=read_text(host),
-                life=read_text(life),
+                incarnation=read_text(incarnation),
                 clock_s=_number(clock_s),
                 confirmed_s=_span(confirmed_s),
                 regained_s=None if regained_s is None else _span(regained_s),
@@ -202,7 +202,7 @@
                 evacuations=ZoneUpdate.decode(zones),
                 endpoints_progress=endpoints_progress,
                 entries_progress=entries_progress,
-                is_cut_short=bool(is_cut_short),
+                omits_endpoints=bool(omits_endpoints),
                 config=None if config is None else config.encode("latin-1"),
                 endpoints=_decode_topic(endpoints),
                 entries=_decode_topic(entries),
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -121,7 +121,7 @@
             await anyio.sleep(ANSWER_TIMEOUT_S)
             return None
         try:
-            answer = other.updates.take(message)
+            answer = other.updates.apply(message)
         except ValueError:
             return None
         await anyio.sleep(DELAY_S)
@@ -130,7 +130,7 @@
     @staticmethod
     def _deliver_late(other, message):
         with contextlib.suppress(ValueError):
-            other.updates.take(message)
+            other.updates.apply(message)
 
     async def ask(self, address, version, offset):
         other = await self._reach(address)
@@ -237,8 +237,8 @@
         endpoints = member.endpoints = EndpointWatcher(store, state, schedule)
         peers = PeerTable(state.random)
         entries = Registration(store, state, peers, member.address, schedule)
-        life = f"{state.random.random()}"
-        member.updates = UpdateReceiver(state, config, endpoints, entries, life)
+        incarnation = f"{state.random.random()}"
+        member.updates = UpdateReceiver(state, config, endpoints, entries, incarnation)
         async with anyio.create_task_group() as group:
             for task in (config, endpoints, entries):
                 group.start_soon(task.run)
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -511,20 +511,20 @@
             world.advance(STARTED_S)
             one = world.members["front-0"]
             hello = Update("front-1", "", 0.0, 0.0, None, 0)
-            life = Reply.decode(one.updates.take(hello.encode())).life
-            future = Update("front-1", life, 0.0, 0.0, None, 99)
+            incarnation = Reply.decode(one.updates.apply(hello.encode())).incarnation
+            future = Update("front-1", incarnation, 0.0, 0.0, None, 99)
             messages = [
                 b"{}",
-                Update("stranger", life, 0.0, 0.0, None, 99).encode(),
-                Update("front-1", life, 1e6, 1e6, None, 99).encode(),
-                Update("front-1", life, 0.0, 0.0, 1e6, 99).encode(),
+                Update("stranger", incarnation, 0.0, 0.0, None, 99).encode(),
+                Update("front-1", incarnation, 1e6, 1e6, None, 99).encode(),
+                Update("front-1", incarnation, 0.0, 0.0, 1e6, 99).encode(),
                 attrs.evolve(future, endpoints_progress=Progress(3, 1e4)).encode(),
                 attrs.evolve(future, entries_progress=Progress(3, 1e4)).encode(),
             ]
 
             for message in messages:
                 with pytest.raises(ValueError, match="expected"):
-                    one.updates.take(message)
+                    one.updates.apply(message)
 
             assert world.oldest_in(3.0) < 2.0
             assert world.broken == []
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -156,7 +156,10 @@
         anyio.run(share.step)
         anyio.run(share.step)
 
-        assert [(host, news.life) for host, news in self.link.sent] == [("a", "1"), ("b", "1")]
+        assert [(host, news.incarnation) for host, news in self.link.sent] == [
+            ("a", "1"),
+            ("b", "1"),
+        ]
 
     def test_peer_with_a_new_life_gets_everything_before_its_record_is_read(self):
         """Guards against prefilling moved chats again after all entries of a zone restart.
