--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -9,11 +9,11 @@
 from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
-from beryljunction.gateway.peers import PeerLink
+from beryljunction.gateway.peers import PeerClient
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import Address
 
-__all__ = ["FuzzEntry", "FuzzPeerLink"]
+__all__ = ["FuzzEntry", "FuzzPeerClient"]
 
 _PEER_S = 0.002
 
@@ -33,7 +33,7 @@
     is_alone: bool = False
 
 
-class FuzzPeerLink(PeerLink):
+class FuzzPeerClient(PeerClient):
     """Asks another entry of the world, unless one of both is cut off from it.
 
     Args:
@@ -45,7 +45,7 @@
         self._entry = entry
         self._entries = entries
 
-    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
+    async def fetch_view(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what the other entry knows."""
         await asyncio.sleep(_PEER_S)
         peer = self._at(address)
@@ -55,11 +55,11 @@
         await asyncio.sleep(_PEER_S)
         return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
-    async def tell(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, news: bytes) -> bool:
         """Tell nothing: the world has no engines."""
         return False
 
-    async def report(self, address: Address, crashes: bytes) -> bytes | None:
+    async def report_crashes(self, address: Address, crashes: bytes) -> bytes | None:
         """Tell of requests that end endpoints."""
         await asyncio.sleep(_PEER_S)
         peer = self._at(address)
--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -7,7 +7,7 @@
 import anyio
 
 from beryljunction.fuzz.platform.actors import Behaviour, FuzzCaller, FuzzEndpoint
-from beryljunction.fuzz.platform.entries import FuzzEntry, FuzzPeerLink
+from beryljunction.fuzz.platform.entries import FuzzEntry, FuzzPeerClient
 from beryljunction.fuzz.platform.oracle import Asked, Bounds, PlatformOracle
 from beryljunction.fuzz.platform.stores import FuzzStore, StoreFault
 from beryljunction.fuzz.platform.virtual import VirtualLoop, virtual_clock
@@ -236,7 +236,7 @@
             others = {row.name: row.address for row in self.entries.values() if row != entry}
             peers.replace(others)
             entry.state.fan_out.replace(others)
-            link = FuzzPeerLink(entry, self.entries)
+            link = FuzzPeerClient(entry, self.entries)
             group.start_soon(CrashReporter(link, entry.store, entry.state).run)
             group.start_soon(PeerConfirmation(link, entry.state, config, endpoints, peers).run)
             await anyio.sleep_forever()
--- a/src/beryljunction/gateway/crashreporter.py
+++ b/src/beryljunction/gateway/crashreporter.py
@@ -4,7 +4,7 @@
 import anyio.abc
 
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.peers import PeerLink
+from beryljunction.gateway.peers import PeerClient
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import ENTRY_ADDRESSES, Record, Store, WriteOutcome
@@ -23,8 +23,8 @@
 class CrashReporter:
     """Sends each entry its pending reports until it has received them or they expire."""
 
-    def __init__(self, link: PeerLink, store: Store, state: EntryState) -> None:
-        self._link = link
+    def __init__(self, client: PeerClient, store: Store, state: EntryState) -> None:
+        self._client = client
         self._store = store
         self._state = state
         self._quarantine: Quarantine = state.quarantine
@@ -62,7 +62,7 @@
         if address is None:
             return False
         async with self._limiter:
-            answer = await self._link.report(address, report.encode())
+            answer = await self._client.report_crashes(address, report.encode())
         if answer is None:
             return False
         try:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -19,7 +19,7 @@
 from beryljunction.gateway.updatelink import UPDATE_PATH
 from beryljunction.routing import Address, CallerLimits, PeerTable, should_ask_peers
 
-__all__ = ["PeerConfirmation", "HttpPeerLink", "PeerHandler", "PeerLink"]
+__all__ = ["PeerConfirmation", "HttpPeerClient", "PeerHandler", "PeerClient"]
 
 _KNOWN_PATH = "/v1/known"
 _NEWS_PATH = "/v1/news"
@@ -116,19 +116,19 @@
     return int(version), int(offset)
 
 
-class PeerLink(abc.ABC):
+class PeerClient(abc.ABC):
     """Sends requests to another entry."""
 
     @abc.abstractmethod
-    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
+    async def fetch_view(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what it has beyond this version and offset, or why there is no answer."""
 
     @abc.abstractmethod
-    async def tell(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, news: bytes) -> bool:
         """Send session placements and loads; return False if there was no answer."""
 
     @abc.abstractmethod
-    async def report(self, address: Address, crashes: bytes) -> bytes | None:
+    async def report_crashes(self, address: Address, crashes: bytes) -> bytes | None:
         """Report requests that crash endpoints.
 
         Returns:
@@ -136,10 +136,10 @@
         """
 
 
-class HttpPeerLink(PeerLink):
+class HttpPeerClient(PeerClient):
     """Sends requests to other entries over HTTP.
 
-    `ask` is rare and opens a connection each time, since an idle one may be dead. The other calls
+    `fetch_view` is rare and opens a connection each time, since an idle one may be dead. The other calls
     use keep-alive connections; news that is lost on a dead one costs a prefix cache hit.
     """
 
@@ -148,11 +148,11 @@
             max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
         )
 
-    async def tell(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, news: bytes) -> bool:
         """Send session placements and loads; return False if there was no answer."""
         return await self._post(address, _NEWS_PATH, news) is not None
 
-    async def report(self, address: Address, crashes: bytes) -> bytes | None:
+    async def report_crashes(self, address: Address, crashes: bytes) -> bytes | None:
         """Report requests that crash endpoints; return its report, None if there was no answer."""
         return await self._post(address, _CRASHES_PATH, crashes)
 
@@ -165,7 +165,7 @@
             return None
         return response.content if response.status == 200 else None
 
-    async def ask(self, address: Address, version: int, offset: int) -> StoreView | str:
+    async def fetch_view(self, address: Address, version: int, offset: int) -> StoreView | str:
         """Return what it has beyond this version and offset, or why there is no answer."""
         url = f"http://{address[0]}:{address[1]}{_format_query(version, offset)}"
         try:
@@ -188,13 +188,13 @@
 
     def __init__(
         self,
-        link: PeerLink,
+        client: PeerClient,
         state: EntryState,
         config: ConfigWatcher,
         endpoints: EndpointWatcher,
         peers: PeerTable,
     ) -> None:
-        self._link = link
+        self._client = client
         self._state = state
         self._config = config
         self._endpoints = endpoints
@@ -219,7 +219,7 @@
         host, address = chosen
         asked_s = boot_time_s()
         version = self._state.config.version if self._state.config is not None else 0
-        answer = await self._link.ask(address, version, self._endpoints.offset or 0)
+        answer = await self._client.fetch_view(address, version, self._endpoints.offset or 0)
         has_confirmed = isinstance(answer, StoreView) and self._apply_store_view(
             host, answer, asked_s
         )
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -19,7 +19,7 @@
 from beryljunction.gateway.front import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.operators import OperatorHandler, operator_digests
-from beryljunction.gateway.peers import HttpPeerLink, PeerConfirmation, PeerHandler
+from beryljunction.gateway.peers import HttpPeerClient, PeerConfirmation, PeerHandler
 from beryljunction.gateway.probes import ProbeHandler
 from beryljunction.gateway.publishing import UpdatePublisher
 from beryljunction.gateway.receiving import UpdateReceiver
@@ -27,7 +27,7 @@
 from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule, PollSchedule
 from beryljunction.gateway.sharing import ShareNews
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import HttpUpdateLink
+from beryljunction.gateway.updatelink import HttpUpdateClient
 from beryljunction.listening import open_listener
 from beryljunction.operators import NodeStatus
 from beryljunction.platform import (
@@ -246,15 +246,15 @@
         except StartError as error:
             self._events.write("peers_unavailable", problem=str(error))
             return None
-        link = HttpPeerLink()
+        client = HttpPeerClient()
         group.start_soon(registration.run)
         if self._state.mechanisms.peer_help:
-            group.start_soon(PeerConfirmation(link, self._state, config, endpoints, peers).run)
+            group.start_soon(PeerConfirmation(client, self._state, config, endpoints, peers).run)
         if self._state.mechanisms.shared_reads:
-            publisher = UpdatePublisher(HttpUpdateLink(), self._state, endpoints, registration)
+            publisher = UpdatePublisher(HttpUpdateClient(), self._state, endpoints, registration)
             group.start_soon(publisher.run)
-        group.start_soon(ShareNews(link, self._state, peers, incarnation).run)
-        group.start_soon(CrashReporter(link, store, self._state).run)
+        group.start_soon(ShareNews(client, self._state, peers, incarnation).run)
+        group.start_soon(CrashReporter(client, store, self._state).run)
         return registration
 
     def _callers_socket(self) -> socket.socket:
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -11,7 +11,7 @@
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import UpdateLink
+from beryljunction.gateway.updatelink import UpdateClient
 from beryljunction.gateway.updates import Progress, Reply, Update
 from beryljunction.routing import Address, Confirmation
 
@@ -89,12 +89,12 @@
 
     def __init__(
         self,
-        link: UpdateLink,
+        client: UpdateClient,
         state: EntryState,
         endpoints: EndpointWatcher,
         entries: Registration,
     ) -> None:
-        self._link = link
+        self._client = client
         self._state = state
         self._endpoints = endpoints
         self._entries = entries
@@ -155,7 +155,7 @@
         """
         has_records = subscriber.lacks_records or self._state.fan_out.is_first_source_of(host)
         known, update = self._known_positions(), self._update(subscriber, has_records)
-        answer = await self._link.update(address, update.encode())
+        answer = await self._client.send_update(address, update.encode())
         if answer is None:
             return False
         try:
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -5,7 +5,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.news import News
-from beryljunction.gateway.peers import PeerLink
+from beryljunction.gateway.peers import PeerClient
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import PeerTable, loads_to_gossip
 
@@ -24,7 +24,7 @@
 class ShareNews:
     """Sends each peer in turn the news that it has not acknowledged."""
 
-    _link: PeerLink
+    _client: PeerClient
     _state: EntryState
     _peers: PeerTable
     _incarnation: str
@@ -57,7 +57,7 @@
             sent, end = unsent[:_MAX_MOVED_SESSIONS], moved.end - len(unsent[_MAX_MOVED_SESSIONS:])
             self._peers.take_turn(host)
             news = News(self._state.host.host, self._incarnation, sent, loads)
-            if await self._link.tell(address, news.encode()):
+            if await self._client.send_gossip(address, news.encode()):
                 self._peers.note_delivered(host, end)
             else:
                 self._peers.note_unresponsive(host, now_s)
--- a/src/beryljunction/gateway/updatelink.py
+++ b/src/beryljunction/gateway/updatelink.py
@@ -7,7 +7,7 @@
 
 from beryljunction.routing import Address
 
-__all__ = ["UPDATE_PATH", "HttpUpdateLink", "UpdateLink"]
+__all__ = ["UPDATE_PATH", "HttpUpdateClient", "UpdateClient"]
 
 UPDATE_PATH = "/v1/update"
 # An entry answers within a few ms, even from another zone; an unreachable one never does.
@@ -16,15 +16,15 @@
 _TRANSPORT_ERRORS = (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError)
 
 
-class UpdateLink(abc.ABC):
+class UpdateClient(abc.ABC):
     """Sends updates to another entry."""
 
     @abc.abstractmethod
-    async def update(self, address: Address, message: bytes) -> bytes | None:
+    async def send_update(self, address: Address, message: bytes) -> bytes | None:
         """Send a message and return the answer; None if there was none."""
 
 
-class HttpUpdateLink(UpdateLink):
+class HttpUpdateClient(UpdateClient):
     """Sends updates over HTTP on keep-alive connections."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
             max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
         )
 
-    async def update(self, address: Address, message: bytes) -> bytes | None:
+    async def send_update(self, address: Address, message: bytes) -> bytes | None:
         """Send a message and return the answer; None, with the connection closed, on a timeout."""
         url = f"http://{address[0]}:{address[1]}{UPDATE_PATH}"
         try:
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -16,13 +16,13 @@
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
-from beryljunction.gateway.peers import PeerConfirmation, PeerLink
+from beryljunction.gateway.peers import PeerClient, PeerConfirmation
 from beryljunction.gateway.publishing import UpdatePublisher
 from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import UpdateLink
+from beryljunction.gateway.updatelink import UpdateClient
 from beryljunction.platform import DeploymentBounds, HostSettings, Unavailable
 from beryljunction.routing import PeerTable
 from beryljunction.standins.platform_store import PlatformStoreModel
@@ -96,7 +96,7 @@
     endpoints: EndpointWatcher = None
 
 
-class Link(UpdateLink, PeerLink):
+class FakeClient(UpdateClient, PeerClient):
     def __init__(self, world, member):
         self.world = world
         self.member = member
@@ -110,7 +110,7 @@
             return None
         return other
 
-    async def update(self, address, message):
+    async def send_update(self, address, message):
         other = await self._reach(address)
         self.member.sent_bytes += OVERHEAD_BYTES + len(message)
         if other is None:
@@ -132,7 +132,7 @@
         with contextlib.suppress(ValueError):
             other.updates.apply(message)
 
-    async def ask(self, address, version, offset):
+    async def fetch_view(self, address, version, offset):
         other = await self._reach(address)
         if other is None or other.endpoints is None:
             return "no answer"
@@ -140,10 +140,10 @@
         await anyio.sleep(DELAY_S)
         return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
-    async def tell(self, address, news):
+    async def send_gossip(self, address, news):
         return False
 
-    async def report(self, address, crashes):
+    async def report_crashes(self, address, crashes):
         other = await self._reach(address)
         self.member.sent_bytes += OVERHEAD_BYTES + len(crashes)
         if other is None:
@@ -231,7 +231,7 @@
 
     async def _run(self, member):
         await anyio.sleep(member.state.random.random() * 0.3)
-        state, store, link = member.state, member.store, Link(self, member)
+        state, store, client = member.state, member.store, FakeClient(self, member)
         schedule = FanOutSchedule(state) if self.is_shared else ALWAYS_POLL
         config = member.config = ConfigWatcher(store, state, schedule)
         endpoints = member.endpoints = EndpointWatcher(store, state, schedule)
@@ -242,10 +242,10 @@
         async with anyio.create_task_group() as group:
             for task in (config, endpoints, entries):
                 group.start_soon(task.run)
-            group.start_soon(PeerConfirmation(link, state, config, endpoints, peers).run)
-            group.start_soon(CrashReporter(link, store, state).run)
+            group.start_soon(PeerConfirmation(client, state, config, endpoints, peers).run)
+            group.start_soon(CrashReporter(client, store, state).run)
             if self.is_shared:
-                group.start_soon(UpdatePublisher(link, state, endpoints, entries).run)
+                group.start_soon(UpdatePublisher(client, state, endpoints, entries).run)
 
     def kill(self, name):
         """Kill an entry permanently; its address stays in the store."""
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
-from beryljunction.gateway.peers import PeerConfirmation, PeerLink
+from beryljunction.gateway.peers import PeerClient, PeerConfirmation
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
@@ -125,7 +125,7 @@
         return WriteOutcome.NOT_DONE
 
 
-class Entry(PeerLink):
+class Entry(PeerClient):
     """An entry without sockets that read the settings at time 0 and has been cut off since."""
 
     def __init__(self, name, lines):
@@ -144,14 +144,14 @@
         self.other = other
         self.peers = PeerConfirmation(self, self.state, self.config, self.endpoints, self.table)
 
-    async def ask(self, address, version, offset):
+    async def fetch_view(self, address, version, offset):
         known = local_store_view(self.other.state, self.other.endpoints, version, offset)
         return StoreView.decode(known.encode()) if known is not None else "nothing known"
 
-    async def tell(self, address, moved):
+    async def send_gossip(self, address, moved):
         return False
 
-    async def report(self, address, crashes):
+    async def report_crashes(self, address, crashes):
         return None
 
 
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.updatelink import HttpUpdateLink
+from beryljunction.gateway.updatelink import HttpUpdateClient
 from beryljunction.gateway.updates import Progress, Reply, TopicUpdate, Update, ZoneUpdate
 from beryljunction.platform import Record
 from fanout_world import FleetWorld, History, StoreFault
@@ -534,8 +534,8 @@
             async with open_harness(route(), start=False) as harness:
                 harness.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    silent = await HttpUpdateLink().update(harness.store_address, b"{}")
-                    refused = await HttpUpdateLink().update(("127.0.0.1", 1), b"{}")
+                    silent = await HttpUpdateClient().send_update(harness.store_address, b"{}")
+                    refused = await HttpUpdateClient().send_update(("127.0.0.1", 1), b"{}")
                 return silent, refused
 
         assert anyio.run(run) == (None, None)
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -9,7 +9,7 @@
 from beryljunction.fuzz.platform.stores import StoreFault
 from beryljunction.fuzz.platform.world import ENDPOINTS, ENTRIES, PlatformWorld, behave
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.peers import HttpPeerLink, PeerHandler
+from beryljunction.gateway.peers import HttpPeerClient, PeerHandler
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, PeerTable, crash_counting_hosts, request_digest
 from fanout_world import FleetWorld
@@ -331,8 +331,8 @@
             async with open_harness(route()) as harness:
                 state = harness.entry._state
                 server = await harness.serve(PeerHandler(state, None, PeerTable(state.random)))
-                answer = await HttpPeerLink().report(server, REPORT.encode())
-                bad = await HttpPeerLink().report(server, b"[]")
+                answer = await HttpPeerClient().report_crashes(server, REPORT.encode())
+                bad = await HttpPeerClient().report_crashes(server, b"[]")
                 return CrashReport.decode(answer), bad, len(state.quarantine)
 
         answer, bad, quarantined = anyio.run(run)
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -8,7 +8,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.news import News
-from beryljunction.gateway.peers import HttpPeerLink, PeerHandler, PeerLink
+from beryljunction.gateway.peers import HttpPeerClient, PeerClient, PeerHandler
 from beryljunction.gateway.sharing import ShareNews
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
@@ -85,18 +85,18 @@
 
 
 @attrs.define
-class Link(PeerLink):
+class FakeClient(PeerClient):
     sent: list = attrs.field(factory=list)
     silent: set = attrs.field(factory=set)
 
-    async def ask(self, address, version, offset):
+    async def fetch_view(self, address, version, offset):
         return "nothing known"
 
-    async def tell(self, address, news):
+    async def send_gossip(self, address, news):
         self.sent.append((address[0], News.decode(news)))
         return address[0] not in self.silent
 
-    async def report(self, address, crashes):
+    async def report_crashes(self, address, crashes):
         return None
 
 
@@ -109,12 +109,12 @@
 class TestShareNews:
     def share(self, *hosts):
         """Return an entry's `ShareNews` that has sent the first message to each of these peers."""
-        self.state, self.link = entry_state(), Link()
+        self.state, self.client = entry_state(), FakeClient()
         self.moved = self.state.moved
         self.peers = PeerTable(random.Random(1))
         for host in hosts:
             self.peers.put(host, (host, 1))
-        share = ShareNews(self.link, self.state, self.peers, "1")
+        share = ShareNews(self.client, self.state, self.peers, "1")
         self.run_steps(share, len(hosts))
         return share
 
@@ -124,7 +124,7 @@
                 await share.step()
 
         anyio.run(run)
-        sent, self.link.sent = self.link.sent, []
+        sent, self.client.sent = self.client.sent, []
         return [(host, len(news.moved)) for host, news in sent if news.moved]
 
     def test_each_peer_gets_everything_once_in_turn(self):
@@ -156,7 +156,7 @@
         anyio.run(share.step)
         anyio.run(share.step)
 
-        assert [(host, news.incarnation) for host, news in self.link.sent] == [
+        assert [(host, news.incarnation) for host, news in self.client.sent] == [
             ("a", "1"),
             ("b", "1"),
         ]
@@ -186,13 +186,13 @@
         their prefixes would be prefilled again.
         """
         share = self.share("a", "b")
-        self.link.silent.add("a")
+        self.client.silent.add("a")
         for row in sessions(3):
             self.moved.note(row, 0.0)
 
         assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
 
-        self.link.silent.clear()
+        self.client.silent.clear()
         self.peers.note_incarnation("a", "1")
 
         assert self.run_steps(share, 4) == [("a", 3)]
@@ -212,7 +212,7 @@
 
         anyio.run(share.step)
 
-        ((_, message),) = self.link.sent
+        ((_, message),) = self.client.sent
         assert [(load.incarnation_id[0], load.requests) for load in message.loads] == [("e2", 10)]
 
     def test_number_of_messages_does_not_grow_with_the_number_of_peers(self):
@@ -238,7 +238,7 @@
                 ):
                     data = f"{head} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                     bad.append((await harness.send_to(server, data + body))[0])
-                good = await HttpPeerLink().tell(server, news(SESSION).encode())
+                good = await HttpPeerClient().send_gossip(server, news(SESSION).encode())
                 return bad, good, state._warm_placement._prefixes._parts["chat"]
 
         bad, good, known = anyio.run(run)
@@ -252,8 +252,8 @@
             async with open_harness(route(), start=False) as harness:
                 harness.store.faults.silent = True
                 with anyio.fail_after(1.0):
-                    silent = await HttpPeerLink().tell(harness.store_address, b"{}")
-                    refused = await HttpPeerLink().tell(("127.0.0.1", 1), b"{}")
+                    silent = await HttpPeerClient().send_gossip(harness.store_address, b"{}")
+                    refused = await HttpPeerClient().send_gossip(("127.0.0.1", 1), b"{}")
                 return silent, refused
 
         assert anyio.run(run) == (False, False)
