--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -155,7 +155,7 @@
         if self._is_usable:
             self._asked_s = max(self._asked_s, asked_s)
             self._state.lease.confirm(asked_s)
-            self._state.news.set()
+            self._state.store_data_changed.set()
         return True
 
     def _apply_snapshot(self, records: Iterable[Record]) -> None:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -242,7 +242,7 @@
         lease = self._state.lease
         lease.confirm(asked_s - store_view.age_s)
         self._endpoints.confirm_up_to(store_view.offset, asked_s - store_view.endpoints_age_s, host)
-        self._state.news.set()
+        self._state.store_data_changed.set()
         return not should_ask_peers(store_view.age_s, lease.revocation_s)
 
     def _log_peer_confirmation(self, host: str) -> None:
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -105,7 +105,7 @@
         async with anyio.create_task_group() as group:
             while True:
                 self.step(group)
-                await self._state.news.wait()
+                await self._state.store_data_changed.wait()
 
     def step(self, group: anyio.abc.TaskGroup) -> None:
         """Start sending to each subscriber that lacks something."""
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -8,7 +8,7 @@
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.signals import Signal
+from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, CrashTable, FanOut, KnownEndpoint, crash_counting_hosts
 
@@ -63,7 +63,7 @@
         self._table = CrashTable()
         self._pending: dict[str, dict[_Row, float]] = collections.defaultdict(dict)
         self._unsaved: list[str] = []
-        self.untold = Signal()
+        self.untold = AutoResetEvent()
 
     def __len__(self) -> int:
         """Return the number of quarantined requests."""
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -73,7 +73,7 @@
         if update.omits_endpoints:
             self._endpoints.mark_behind(update.endpoints_progress.end)
         self._config.apply_update(update.host, update.version, update.config, asked_s)
-        self._state.news.set()
+        self._state.store_data_changed.set()
 
     @staticmethod
     def _confirm(
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -7,7 +7,7 @@
 
 from beryljunction.gateway.quarantine import is_quarantine_key
 from beryljunction.gateway.schedules import ALWAYS_POLL, PollSchedule
-from beryljunction.gateway.signals import Signal
+from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
 from beryljunction.gateway.updates import TopicUpdate
@@ -57,7 +57,7 @@
         self._host = state.host.host
         self._topic = TopicReader(store, state, ENTRY_ADDRESSES, state.addresses_confirmation)
         self._is_known_incomplete = False
-        self._rewrite_needed = Signal()
+        self._rewrite_needed = AutoResetEvent()
         self._lost_records: list[Record] = []
         self._state = state
         self._peers = peers
--- a/src/beryljunction/gateway/signals.py
+++ b/src/beryljunction/gateway/signals.py
@@ -2,10 +2,10 @@
 
 import anyio
 
-__all__ = ["Signal"]
+__all__ = ["AutoResetEvent"]
 
 
-class Signal:
+class AutoResetEvent:
     """Event that is cleared when `wait` returns, so that a loop can wait for it repeatedly."""
 
     def __init__(self) -> None:
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -8,7 +8,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.quarantine import Quarantine
-from beryljunction.gateway.signals import Signal
+from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import (
     AgeBound,
@@ -61,7 +61,7 @@
         fan_out: Which entries read the store, and which entry sends updates to which.
         era: Highest restore count of the store that this entry has seen.
         quarantine: Requests that crash the endpoints which run them.
-        news: Set when data or a confirmation has arrived from the store or from another entry.
+        store_data_changed: Set when data or a confirmation has arrived from the store or from another entry.
     """
 
     def __init__(self, host: HostSettings, events: EntryEventLog) -> None:
@@ -80,7 +80,7 @@
         self.cold = ColdStartLimiter(host.host, _cold_start_limit(bounds), boot_time_s())
         self.fan_out = FanOut(host.host)
         self.quarantine = Quarantine(host.host, self.fan_out, events)
-        self.news = Signal()
+        self.store_data_changed = AutoResetEvent()
         self.random = random.Random()
         mechanisms = self.mechanisms = host.mechanisms
         self._warm_placement = CacheAwarePlacement(mechanisms)
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -97,7 +97,7 @@
         elif isinstance(answer, Records):
             self._append(answer.records, answer.next_position, apply_changes)
         self.confirmation.confirm(_complete_at_s(answer, asked_s, now_s, wait_ms / 1000))
-        self.state.news.set()
+        self.state.store_data_changed.set()
         return True
 
     async def _read(
@@ -140,7 +140,7 @@
         self._offset = self._recent_start = self._snapshot_end = end
         self._recent.clear()
         apply_snapshot(records)
-        self.state.news.set()
+        self.state.store_data_changed.set()
 
     def _append(self, records: Sequence[Record], end: int, apply_changes: ApplyRecords) -> None:
         """Apply records that start at or before the known end.
@@ -158,7 +158,7 @@
             self._recent.popleft()
         self._recent_start = end - len(self._recent)
         apply_changes(new)
-        self.state.news.set()
+        self.state.store_data_changed.set()
 
     def update_since(
         self, offset: int, newest: Callable[[], tuple[Record, ...]]
