--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -55,7 +55,7 @@
         await asyncio.sleep(_PEER_S)
         return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
-    async def send_gossip(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, gossip: bytes) -> bool:
         """Tell nothing: the world has no engines."""
         return False
 
--- a/src/beryljunction/gateway/news.py
+++ b/src/beryljunction/gateway/news.py
@@ -9,7 +9,7 @@
 from beryljunction.gateway.fields import read_rows, read_start, read_text
 from beryljunction.routing import LoadSample, MovedSession
 
-__all__ = ["News"]
+__all__ = ["Gossip"]
 
 # Limit of the parts of a session; no entry sends more.
 _MAX_PARTS = 64
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class News:
+class Gossip:
     """Moved sessions and endpoint loads, as one entry sends them to another.
 
     Attributes:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -10,10 +10,10 @@
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.following import ConfigWatcher
+from beryljunction.gateway.gossip import Gossip
 from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.messages import HttpRequest
-from beryljunction.gateway.news import News
 from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updatelink import UPDATE_PATH
@@ -22,7 +22,7 @@
 __all__ = ["PeerConfirmation", "HttpPeerClient", "PeerHandler", "PeerClient"]
 
 _KNOWN_PATH = "/v1/known"
-_NEWS_PATH = "/v1/news"
+_GOSSIP_PATH = "/v1/news"
 _CRASHES_PATH = "/v1/crashes"
 # Interval between requests to peers. Two of them fit between the age at which an entry starts to
 # ask peers and the age at which it stops being ready.
@@ -45,7 +45,7 @@
         updates: UpdateReceiver | None = None,
     ) -> None:
         self._message_handlers: dict[str, Callable[[bytes], bytes]] = {
-            _NEWS_PATH: self._apply_news,
+            _GOSSIP_PATH: self._apply_gossip,
             _CRASHES_PATH: self._apply_crashes,
         }
         if updates is not None:
@@ -94,10 +94,10 @@
             return
         connection.answer(200, [], answer)
 
-    def _apply_news(self, body: bytes) -> bytes:
-        news = News.decode(body)
-        self._peers.note_incarnation(news.host, news.incarnation)
-        self._state.learn(news.moved, news.loads)
+    def _apply_gossip(self, body: bytes) -> bytes:
+        gossip = Gossip.decode(body)
+        self._peers.note_incarnation(gossip.host, gossip.incarnation)
+        self._state.learn(gossip.moved, gossip.loads)
         return b""
 
     def _apply_crashes(self, body: bytes) -> bytes:
@@ -124,7 +124,7 @@
         """Return what it has beyond this version and offset, or why there is no answer."""
 
     @abc.abstractmethod
-    async def send_gossip(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, gossip: bytes) -> bool:
         """Send session placements and loads; return False if there was no answer."""
 
     @abc.abstractmethod
@@ -148,9 +148,9 @@
             max_keepalive_connections=_MAX_KEEPALIVE_CONNECTIONS
         )
 
-    async def send_gossip(self, address: Address, news: bytes) -> bool:
+    async def send_gossip(self, address: Address, gossip: bytes) -> bool:
         """Send session placements and loads; return False if there was no answer."""
-        return await self._post(address, _NEWS_PATH, news) is not None
+        return await self._post(address, _GOSSIP_PATH, gossip) is not None
 
     async def report_crashes(self, address: Address, crashes: bytes) -> bytes | None:
         """Report requests that crash endpoints; return its report, None if there was no answer."""
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -25,7 +25,7 @@
 from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule, PollSchedule
-from beryljunction.gateway.sharing import ShareNews
+from beryljunction.gateway.sharing import GossipSender
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updatelink import HttpUpdateClient
 from beryljunction.listening import open_listener
@@ -253,7 +253,7 @@
         if self._state.mechanisms.shared_reads:
             publisher = UpdatePublisher(HttpUpdateClient(), self._state, endpoints, registration)
             group.start_soon(publisher.run)
-        group.start_soon(ShareNews(client, self._state, peers, incarnation).run)
+        group.start_soon(GossipSender(client, self._state, peers, incarnation).run)
         group.start_soon(CrashReporter(client, store, self._state).run)
         return registration
 
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -4,12 +4,12 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.news import News
+from beryljunction.gateway.gossip import Gossip
 from beryljunction.gateway.peers import PeerClient
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import PeerTable, loads_to_gossip
 
-__all__ = ["ShareNews"]
+__all__ = ["GossipSender"]
 
 # One message per 0.125 s at most, to the peers in turn. At 500 bytes each, that is the 4 KB/s which
 # an entry may spend on control traffic, regardless of the number of peers. Each of three peers gets
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class ShareNews:
+class GossipSender:
     """Sends each peer in turn the news that it has not acknowledged."""
 
     _client: PeerClient
@@ -56,8 +56,8 @@
                 continue
             sent, end = unsent[:_MAX_MOVED_SESSIONS], moved.end - len(unsent[_MAX_MOVED_SESSIONS:])
             self._peers.take_turn(host)
-            news = News(self._state.host.host, self._incarnation, sent, loads)
-            if await self._client.send_gossip(address, news.encode()):
+            gossip = Gossip(self._state.host.host, self._incarnation, sent, loads)
+            if await self._client.send_gossip(address, gossip.encode()):
                 self._peers.note_delivered(host, end)
             else:
                 self._peers.note_unresponsive(host, now_s)
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -140,7 +140,7 @@
         await anyio.sleep(DELAY_S)
         return "nothing known" if store_view is None else StoreView.decode(store_view.encode())
 
-    async def send_gossip(self, address, news):
+    async def send_gossip(self, address, gossip):
         return False
 
     async def report_crashes(self, address, crashes):
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -4,12 +4,12 @@
 import anyio
 import attrs
 import pytest
+from beryljunction.gateway.gossip import Gossip
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.news import News
 from beryljunction.gateway.peers import HttpPeerClient, PeerClient, PeerHandler
-from beryljunction.gateway.sharing import ShareNews
+from beryljunction.gateway.sharing import GossipSender
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
@@ -26,15 +26,15 @@
 LOAD = LoadSample(("e1", 7), 12, 0.25)
 
 
-def news(*moved, loads=()):
-    return News("b", "1", tuple(moved), tuple(loads))
+def gossip(*moved, loads=()):
+    return Gossip("b", "1", tuple(moved), tuple(loads))
 
 
 class TestMessage:
     def test_round_trip(self):
-        message = news(*sessions(3), loads=[LOAD])
+        message = gossip(*sessions(3), loads=[LOAD])
 
-        assert News.decode(message.encode()) == message
+        assert Gossip.decode(message.encode()) == message
 
     @pytest.mark.parametrize(
         "rows",
@@ -54,7 +54,7 @@
         values = {"host": "b", "life": "1", "loads": [], "moved": rows}
 
         with pytest.raises(ValueError):
-            News.decode(json.dumps(values).encode())
+            Gossip.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize(
         "rows",
@@ -76,12 +76,12 @@
         values = {"host": "b", "life": "1", "loads": rows, "moved": []}
 
         with pytest.raises(ValueError):
-            News.decode(json.dumps(values).encode())
+            Gossip.decode(json.dumps(values).encode())
 
     @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff"])
     def test_malformed_message_is_an_error(self, data):
         with pytest.raises(ValueError):
-            News.decode(data)
+            Gossip.decode(data)
 
 
 @attrs.define
@@ -92,8 +92,8 @@
     async def fetch_view(self, address, version, offset):
         return "nothing known"
 
-    async def send_gossip(self, address, news):
-        self.sent.append((address[0], News.decode(news)))
+    async def send_gossip(self, address, gossip):
+        self.sent.append((address[0], Gossip.decode(gossip)))
         return address[0] not in self.silent
 
     async def report_crashes(self, address, crashes):
@@ -106,57 +106,57 @@
     return EntryState(host, EntryEventLog("me", "zone"))
 
 
-class TestShareNews:
-    def share(self, *hosts):
-        """Return an entry's `ShareNews` that has sent the first message to each of these peers."""
+class TestGossipSender:
+    def sender(self, *hosts):
+        """Return an entry's `GossipSender` that has sent the first message to each of these peers."""
         self.state, self.client = entry_state(), FakeClient()
         self.moved = self.state.moved
         self.peers = PeerTable(random.Random(1))
         for host in hosts:
             self.peers.put(host, (host, 1))
-        share = ShareNews(self.client, self.state, self.peers, "1")
-        self.run_steps(share, len(hosts))
-        return share
+        sender = GossipSender(self.client, self.state, self.peers, "1")
+        self.run_steps(sender, len(hosts))
+        return sender
 
-    def run_steps(self, share, count):
+    def run_steps(self, sender, count):
         async def run():
             for _ in range(count):
-                await share.step()
+                await sender.step()
 
         anyio.run(run)
         sent, self.client.sent = self.client.sent, []
-        return [(host, len(news.moved)) for host, news in sent if news.moved]
+        return [(host, len(gossip.moved)) for host, gossip in sent if gossip.moved]
 
     def test_each_peer_gets_everything_once_in_turn(self):
-        share = self.share("a", "b")
+        sender = self.sender("a", "b")
         for row in sessions(3):
             self.moved.note(row, 0.0)
 
-        assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
+        assert self.run_steps(sender, 4) == [("a", 3), ("b", 3)]
 
         self.moved.note(SESSION, 0.0)
 
-        assert self.run_steps(share, 4) == [("a", 1), ("b", 1)]
+        assert self.run_steps(sender, 4) == [("a", 1), ("b", 1)]
 
     def test_restarted_peer_gets_everything_again(self):
         """Guards against a restarted entry that has lost all session placements."""
-        share = self.share("a", "b")
+        sender = self.sender("a", "b")
         self.moved.note(SESSION, 0.0)
-        self.run_steps(share, 2)
+        self.run_steps(sender, 2)
 
         self.peers.put("a", ("a", 1))
 
-        assert self.run_steps(share, 2) == [("a", 1)]
+        assert self.run_steps(sender, 2) == [("a", 1)]
 
     def test_starting_entry_sends_its_life_to_each_peer(self):
-        share = self.share()
+        sender = self.sender()
         for host in ("a", "b"):
             self.peers.put(host, (host, 1))
 
-        anyio.run(share.step)
-        anyio.run(share.step)
+        anyio.run(sender.step)
+        anyio.run(sender.step)
 
-        assert [(host, news.incarnation) for host, news in self.client.sent] == [
+        assert [(host, gossip.incarnation) for host, gossip in self.client.sent] == [
             ("a", "1"),
             ("b", "1"),
         ]
@@ -167,17 +167,17 @@
         Their records in the store are read only seconds later, so their first message has to be
         enough to send them all session placements.
         """
-        share = self.share("a", "b")
+        sender = self.sender("a", "b")
         self.moved.note(SESSION, 0.0)
-        self.run_steps(share, 2)
+        self.run_steps(sender, 2)
 
         self.peers.note_incarnation("a", "2")
 
-        assert self.run_steps(share, 2) == [("a", 1)]
+        assert self.run_steps(sender, 2) == [("a", 1)]
 
         self.peers.note_incarnation("a", "2")
 
-        assert self.run_steps(share, 2) == []
+        assert self.run_steps(sender, 2) == []
 
     def test_peer_that_was_cut_off_gets_what_it_missed(self):
         """Guards against sending news only once, although the link is down for some seconds.
@@ -185,41 +185,41 @@
         The peer would send the moved chats to their default endpoints for as long as they last, and
         their prefixes would be prefilled again.
         """
-        share = self.share("a", "b")
+        sender = self.sender("a", "b")
         self.client.silent.add("a")
         for row in sessions(3):
             self.moved.note(row, 0.0)
 
-        assert self.run_steps(share, 4) == [("a", 3), ("b", 3)]
+        assert self.run_steps(sender, 4) == [("a", 3), ("b", 3)]
 
         self.client.silent.clear()
         self.peers.note_incarnation("a", "1")
 
-        assert self.run_steps(share, 4) == [("a", 3)]
+        assert self.run_steps(sender, 4) == [("a", 3)]
 
     def test_large_backlog_is_sent_in_parts(self):
-        share = self.share("a")
+        sender = self.sender("a")
         for row in sessions(100):
             self.moved.note(row, 0.0)
 
-        assert self.run_steps(share, 5) == [("a", 32), ("a", 32), ("a", 32), ("a", 4)]
+        assert self.run_steps(sender, 5) == [("a", 32), ("a", 32), ("a", 32), ("a", 4)]
 
     def test_only_overloaded_endpoints_are_sent(self):
-        share = self.share("a")
+        sender = self.sender("a")
         for number, running in enumerate((2, 2, 9)):
             row = self.state.registry.put(endpoint(f"e{number}"), 0.0)
             row.report = LoadReport(running, 1, 0, boot_time_s())
 
-        anyio.run(share.step)
+        anyio.run(sender.step)
 
         ((_, message),) = self.client.sent
         assert [(load.incarnation_id[0], load.requests) for load in message.loads] == [("e2", 10)]
 
     def test_number_of_messages_does_not_grow_with_the_number_of_peers(self):
-        share = self.share(*(f"h{number}" for number in range(60)))
+        sender = self.sender(*(f"h{number}" for number in range(60)))
         self.moved.note(SESSION, 0.0)
 
-        assert len(self.run_steps(share, 8)) == 8
+        assert len(self.run_steps(sender, 8)) == 8
 
 
 class TestPeerHandler:
@@ -238,7 +238,7 @@
                 ):
                     data = f"{head} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n".encode()
                     bad.append((await harness.send_to(server, data + body))[0])
-                good = await HttpPeerClient().send_gossip(server, news(SESSION).encode())
+                good = await HttpPeerClient().send_gossip(server, gossip(SESSION).encode())
                 return bad, good, state._warm_placement._prefixes._parts["chat"]
 
         bad, good, known = anyio.run(run)
