--- a/src/beryljunction/gateway/endpointword.py
+++ b/src/beryljunction/gateway/endpointword.py
@@ -6,10 +6,10 @@
 from beryljunction.platform.requests import has_leaving_header, parse_load, parse_retry_after
 from beryljunction.routing import KnownEndpoint, LoadReport
 
-__all__ = ["note_word"]
+__all__ = ["apply_response_headers"]
 
 
-def note_word(endpoint: KnownEndpoint, head: ResponseHead, log: ExchangeLog) -> None:
+def apply_response_headers(endpoint: KnownEndpoint, head: ResponseHead, log: ExchangeLog) -> None:
     """Update an endpoint's state from the headers of a response, regardless of its status."""
     now_s, status, endpoint_id = boot_time_s(), head.status, endpoint.record.endpoint_id
     load = parse_load(head.headers)
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -10,7 +10,7 @@
     refuses_connections,
 )
 from beryljunction.gateway.delivery import AnswerWriter, CallerAnswer
-from beryljunction.gateway.endpointword import note_word
+from beryljunction.gateway.endpointword import apply_response_headers
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import Headers, HttpRequest, ResponseHead
 from beryljunction.gateway.outgoing import build_endpoint_request
@@ -234,7 +234,7 @@
         if head is None:
             endpoint.note_failure(boot_time_s())
             return AttemptResult(AttemptOutcome.FAILED, call.problem)
-        note_word(endpoint, head, self._log)
+        apply_response_headers(endpoint, head, self._log)
         if was_not_executed(head.status, head.headers):
             return AttemptResult(AttemptOutcome.DECLINED, str(head.status))
         if not is_response_to(self._log.request_id, head.headers):
