--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -81,7 +81,7 @@
         self._service = route.service_for(self._state.random.random())
         self._log.digest = self._digest_for(admitted)
         self._placement_request = PlacementRequest(self._shared_parts())
-        share = self._state.share(self._service)
+        share = self._state.retry_share(self._service)
         share.count_request(boot_time_s())
         may_send_again = self._state.mechanisms.second_sends
         plan = AttemptPlan(route.repeat, route.max_attempts, share, may_send_again)
@@ -116,9 +116,13 @@
     async def _try_endpoints(self, plan: AttemptPlan) -> None:
         """Try endpoints in turn until one answers or no further attempt is allowed."""
         while not self._end_if_quarantined(plan):
-            endpoint = self._state.choose(self._service, self._placement_request, self._tried)
+            endpoint = self._state.choose_endpoint(
+                self._service, self._placement_request, self._tried
+            )
             if endpoint is None or self._remaining_s() < _MIN_REMAINING_S:
-                reason = self._state.why_none(self._service) if endpoint is None else "no_time"
+                reason = (
+                    self._state.no_endpoint_reason(self._service) if endpoint is None else "no_time"
+                )
                 self._give_up(plan.give_up(), reason)
                 return
             self._tried.add(endpoint)
@@ -167,7 +171,7 @@
         Admission and endpoint state are checked again first: while the connection was being made
         or this process was paused, settings and membership may have changed or become too old.
         """
-        problem = self._state.may_send(self._service, endpoint)
+        problem = self._state.reason_not_to_send(self._service, endpoint)
         if problem:
             return AttemptResult(AttemptOutcome.NOT_SENT, problem)
         admitted = self._admit()
@@ -179,7 +183,7 @@
         if not plan.before_send(boot_time_s()):
             self._give_up(plan.give_up(), "retry_budget")
             return AttemptResult()
-        prefill = self._state.reading(self._service, endpoint, self._placement_request)
+        prefill = self._state.prefill_plan(self._service, endpoint, self._placement_request)
         self._state.note_send(self._service, endpoint)
         call.send(self._build_request(endpoint, admitted, prefill.source))
         self._log.log_sent(
@@ -203,7 +207,7 @@
         if not admitted.route.streamed:
             endpoint.latency.note(took_ms, boot_time_s())
         if head is not None and head.status == 200:
-            self._state.note_first(self._service, prefill, took_ms)
+            self._state.note_first_byte(self._service, prefill, took_ms)
         result = await self._handle_answer(call, head, endpoint, admitted)
         is_bad = result.outcome is not None or (head is not None and head.status >= 500)
         endpoint.error_rate.note(is_bad, boot_time_s())
--- a/src/beryljunction/gateway/following.py
+++ b/src/beryljunction/gateway/following.py
@@ -87,7 +87,7 @@
         while True:
             await self._schedule.wait_until_reader()
             if not await run_paced(self.long_poll, 0.0, _CONFIG_WAIT_FAILED_PAUSE_S):
-                await wait_for_store(self._state.contact)
+                await wait_for_store(self._state.store_reachability)
 
     def _effective_age_s(self, now_s: float) -> float:
         """Return the age of the settings; infinite if newer ones are known to exist."""
@@ -193,7 +193,7 @@
         if isinstance(config, InvalidRecord):
             self._state.events.write("settings_refused", problem=config.problem)
             return False
-        if self._state.apply(config, value):
+        if self._state.apply_config(config, value):
             routes = sum(len(rows) for rows in config.routes.values())
             self._state.events.write("settings_applied", version=config.version, routes=routes)
         return True
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/membership.py
@@ -100,7 +100,7 @@
                 continue
             # A single lost answer doesn't mean that the store is down; back off after the second.
             if self._failures > 1:
-                await wait_for_store(self._state.contact)
+                await wait_for_store(self._state.store_reachability)
 
     async def read_once(self) -> bool:
         """Read once."""
@@ -152,7 +152,7 @@
         if decoded.cold_ms is None:
             events.write("endpoint_cold_unreadable", endpoint=decoded.endpoint_id)
         if not is_same:
-            self._state.joined(decoded.endpoint_id)
+            self._state.note_join(decoded.endpoint_id)
         if not is_same or decoded.is_draining != was_draining:
             events.write(
                 "endpoint_draining" if decoded.is_draining else "endpoint_joined",
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -97,7 +97,7 @@
     def _apply_gossip(self, body: bytes) -> bytes:
         gossip = Gossip.decode(body)
         self._peers.note_incarnation(gossip.host, gossip.incarnation)
-        self._state.learn(gossip.moved, gossip.loads)
+        self._state.apply_gossip(gossip.moved, gossip.loads)
         return b""
 
     def _apply_crashes(self, body: bytes) -> bytes:
@@ -228,7 +228,7 @@
 
     def _apply_store_view(self, host: str, store_view: StoreView, asked_s: float) -> bool:
         """Apply a peer's answer; return whether the peer itself is in contact with the store."""
-        self._state.contact.note_update(asked_s - store_view.age_s, None, boot_time_s())
+        self._state.store_reachability.note_update(asked_s - store_view.age_s, None, boot_time_s())
         self._state.replace_evacuations(
             store_view.evacuations.zones, store_view.evacuations.position
         )
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -120,7 +120,7 @@
         )
         metrics.add_gauge("beryl_requests_in_flight", "Requests here.", lambda: frontend.in_flight)
         metrics.add_gauge("beryl_ready", "Whether callers are welcome.", self._is_ready)
-        metrics.add_gauge("beryl_repeats_left", "Second sends left.", state.repeats_left)
+        metrics.add_gauge("beryl_repeats_left", "Second sends left.", state.retries_left)
         metrics.add_gauge(
             "beryl_log_lines_left_out", "Lines left out.", lambda: self._events.suppressed_lines
         )
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/publishing.py
@@ -202,7 +202,7 @@
         if reply is None:
             return Update(host, "", 0.0, 0.0, None, version)
         is_sent = reply.version < version and len(state.config_record) <= _MAX_CONFIG_BYTES
-        regained_s = state.contact.recovered_s
+        regained_s = state.store_reachability.recovered_s
         is_announced = boot_time_s() - regained_s < _REGAINED_ANNOUNCED_S
         endpoints = self._endpoints.update_since(reply.endpoints) if has_records else None
         omits_endpoints = endpoints is not None and endpoints.size_bytes > _MAX_RECORDS_BYTES
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -61,7 +61,9 @@
         if max(answered_s, regained_s) > now_s:
             raise ValueError(f"expected times in the past, got {answered_s} s and {regained_s} s")
         is_return = update.regained_s is not None
-        self._state.contact.note_update(answered_s, regained_s if is_return else None, now_s)
+        self._state.store_reachability.note_update(
+            answered_s, regained_s if is_return else None, now_s
+        )
         evacuations = update.evacuations
         self._state.replace_evacuations(evacuations.zones, evacuations.position)
         if update.entries is not None:
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -74,7 +74,7 @@
                 bound = self._state.addresses_bound
                 await self._schedule.wait_until_due(ENTRY_ADDRESSES, bound, self._effective_age_s)
                 if not await run_paced(self.read_once, _MIN_READ_INTERVAL_S, 0.0):
-                    await wait_for_store(self._state.contact, _READ_RETRY_PAUSE_S)
+                    await wait_for_store(self._state.store_reachability, _READ_RETRY_PAUSE_S)
 
     async def _write(self, record: Record) -> None:
         pause_s = _WRITE_RETRY_PAUSE_S
@@ -165,7 +165,7 @@
         addresses = dict(self._decode_addresses(rows))
         self._peers.replace(addresses)
         self._state.fan_out.replace(addresses)
-        self._state.note_entries()
+        self._state.update_entry_count()
 
     def _find_lost_records(self, keys: set[str]) -> None:
         """Find which records this entry has to rewrite, given the keys of a snapshot.
@@ -188,7 +188,7 @@
         for host, address in addresses.items():
             self._peers.put(host, address)
         self._state.fan_out.update(addresses, gone)
-        self._state.note_entries()
+        self._state.update_entry_count()
 
     def _decode_addresses(self, records: Iterable[Record]) -> list[tuple[str, Address]]:
         """Return the valid addresses of other entries; apply records of quarantined requests."""
--- a/src/beryljunction/gateway/sharing.py
+++ b/src/beryljunction/gateway/sharing.py
@@ -46,7 +46,7 @@
         now_s = boot_time_s()
         rows = self._state.registry.rows if self._state.mechanisms.load_news else []
         loads = loads_to_gossip(rows, now_s)
-        moved = self._state.moved
+        moved = self._state.moved_sessions
         for host, address in self._peers.by_last_turn():
             if not self._peers.is_responsive(host, now_s):
                 continue
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -55,9 +55,9 @@
         mechanisms: Which optional routing mechanisms are enabled.
         endpoints_confirmation: Time up to which the endpoint records are known to be complete.
         addresses_confirmation: Time up to which the addresses of entries are known to be complete.
-        contact: When the store last answered, and when it became reachable again.
+        store_reachability: When the store last answered, and when it became reachable again.
         evacuations: Availability zones that get no new requests.
-        cold: This entry's share of the requests to endpoints that are warming up.
+        cold_start_limiter: This entry's share of the requests to endpoints that are warming up.
         fan_out: Which entries read the store, and which entry sends updates to which.
         era: Highest restore count of the store that this entry has seen.
         quarantine: Requests that crash the endpoints which run them.
@@ -73,11 +73,13 @@
         self.lease = SettingsLease(bounds.revocation_ms / 1000)
         self.endpoints_confirmation = Confirmation()
         self.addresses_confirmation = Confirmation()
-        self.contact = StoreReachability(2 * bounds.heartbeat_ms / 1000)
-        self.registry = EndpointRegistry(self.contact)
+        self.store_reachability = StoreReachability(2 * bounds.heartbeat_ms / 1000)
+        self.registry = EndpointRegistry(self.store_reachability)
         self.evacuations = Evacuations()
         self.era = 0
-        self.cold = ColdStartLimiter(host.host, _cold_start_limit(bounds), boot_time_s())
+        self.cold_start_limiter = ColdStartLimiter(
+            host.host, _cold_start_limit(bounds), boot_time_s()
+        )
         self.fan_out = FanOut(host.host)
         self.quarantine = Quarantine(host.host, self.fan_out, events)
         self.store_data_changed = AutoResetEvent()
@@ -94,7 +96,7 @@
             return
         self.bounds = bounds
         self.lease.revocation_s = bounds.revocation_ms / 1000
-        self.cold.limit = _cold_start_limit(bounds)
+        self.cold_start_limiter.limit = _cold_start_limit(bounds)
         self._retry_shares.clear()
 
     @property
@@ -113,7 +115,7 @@
         """How old this entry's list of other entries may become."""
         return _ADDRESSES_BOUND
 
-    def apply(self, config: FleetConfig, record: bytes) -> bool:
+    def apply_config(self, config: FleetConfig, record: bytes) -> bool:
         """Put settings in force unless their version is not newer; return whether it was."""
         if self.config is not None and config.version <= self.config.version:
             return False
@@ -136,7 +138,7 @@
         if changes:
             self.registry.evacuate(self.evacuations.zones, boot_time_s())
 
-    def share(self, service: str) -> RetryShare:
+    def retry_share(self, service: str) -> RetryShare:
         """Return this entry's share of the retry budget of a service."""
         share = self._retry_shares.get(service)
         if share is None:
@@ -149,32 +151,32 @@
             )
         return share
 
-    def note_entries(self) -> None:
+    def update_entry_count(self) -> None:
         """Update the budgets that are divided among the entries after their list has changed."""
         entries = len(self.fan_out)
-        self.cold.note_entries(self.fan_out.hosts)
+        self.cold_start_limiter.note_entries(self.fan_out.hosts)
         self._max_entries_seen = max(self._max_entries_seen, entries)
         for share in self._retry_shares.values():
             share.note_entries(entries)
 
-    def repeats_left(self) -> float:
+    def retries_left(self) -> float:
         """Return the number of retries left, summed over all services."""
         return sum(share.left for share in self._retry_shares.values())
 
-    def choose(
+    def choose_endpoint(
         self, service: str, request: PlacementRequest, tried: set[KnownEndpoint]
     ) -> KnownEndpoint | None:
         """Return the endpoint for a request; healthy ones are preferred to suspect ones."""
         now_s = boot_time_s()
         usable = [row for row in self.registry.usable(service, now_s) if row not in tried]
-        allowed = self.cold.allowed(usable, self._known_service(service), now_s)
+        allowed = self.cold_start_limiter.allowed(usable, self._known_service(service), now_s)
         healthy = healthy_endpoints(allowed, now_s, self.mechanisms)
         excluded = self.registry.evacuated(service)
         return self._placement(service).choose(
             healthy, attrs.evolve(request, excluded_endpoints=excluded), now_s
         )
 
-    def may_send(self, service: str, endpoint: KnownEndpoint) -> str:
+    def reason_not_to_send(self, service: str, endpoint: KnownEndpoint) -> str:
         """Return why a request may not go to an endpoint now; empty if it may."""
         now_s = boot_time_s()
         if not self.registry.is_usable(endpoint):
@@ -182,14 +184,14 @@
             return "zone is evacuated" if is_known and endpoint.is_evacuated else "endpoint left"
         if endpoint.is_paused(now_s):
             return "endpoint is paused"
-        is_allowed = self.cold.allows(endpoint, self._known_service(service), now_s)
+        is_allowed = self.cold_start_limiter.allows(endpoint, self._known_service(service), now_s)
         return "" if is_allowed else "endpoint is cold"
 
     def note_send(self, service: str, endpoint: KnownEndpoint) -> None:
         """Count a request that is sent to an endpoint now."""
-        self.cold.note_send(endpoint, self._known_service(service), boot_time_s())
+        self.cold_start_limiter.note_send(endpoint, self._known_service(service), boot_time_s())
 
-    def why_none(self, service: str) -> str:
+    def no_endpoint_reason(self, service: str) -> str:
         """Return why no endpoint of a service can be chosen."""
         now_s = boot_time_s()
         known = self._known_service(service)
@@ -198,7 +200,7 @@
             return "endpoints_paused"
         if not usable and self.registry.evacuated(service):
             return "zones_evacuated"
-        is_limited = len(self.cold.allowed(usable, known, now_s)) < len(usable)
+        is_limited = len(self.cold_start_limiter.allowed(usable, known, now_s)) < len(usable)
         return "endpoints_cold" if is_limited else "no_endpoint"
 
     def cold_endpoints(self) -> int:
@@ -206,7 +208,8 @@
         now_s = boot_time_s()
         rows = self.registry.rows
         return sum(
-            self.cold.is_cold(row, self._known_service(row.record.service), now_s) for row in rows
+            self.cold_start_limiter.is_cold(row, self._known_service(row.record.service), now_s)
+            for row in rows
         )
 
     def retry_after_s(
@@ -222,7 +225,7 @@
         available_in_s = 0.0 if usable else self.registry.available_in_s(service, now_s)
         return retry_after_s(rows, left_s, self.random, now_s, available_in_s)
 
-    def reading(
+    def prefill_plan(
         self, service: str, chosen: KnownEndpoint, request: PlacementRequest
     ) -> PrefillPlan:
         """Return what the chosen endpoint has to prefill, and where it may fetch KV cache from."""
@@ -233,20 +236,20 @@
         can_fetch = known is not None and known.can_fetch
         return prefill if can_fetch else attrs.evolve(prefill, source=None)
 
-    def note_first(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
+    def note_first_byte(self, service: str, prefill: PrefillPlan, took_ms: float) -> None:
         """Record how long an endpoint took to send the first byte of its response."""
         self._placement(service).note_first_byte(service, prefill, took_ms)
 
     @property
-    def moved(self) -> MovedSessions:
+    def moved_sessions(self) -> MovedSessions:
         """Sessions that other entries would send to a different endpoint by default."""
         return self._warm_placement.moved
 
-    def joined(self, endpoint_id: str) -> None:
+    def note_join(self, endpoint_id: str) -> None:
         """Tell the placement that an endpoint has joined."""
         self._warm_placement.announce_outranked_sessions(endpoint_id, boot_time_s())
 
-    def learn(self, sessions: Iterable[MovedSession], loads: Iterable[LoadSample]) -> None:
+    def apply_gossip(self, sessions: Iterable[MovedSession], loads: Iterable[LoadSample]) -> None:
         """Apply another entry's session placements and its reports of overloaded endpoints."""
         now_s = boot_time_s()
         for session in sessions:
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topics.py
@@ -82,7 +82,7 @@
             answer = await self._read(asked, wait_ms, answer_timeout_s)
         if isinstance(answer, Unavailable):
             self._log_store_lost(answer.reason)
-            self.state.contact.note_failure()
+            self.state.store_reachability.note_failure()
             return False
         if isinstance(answer, Expired):
             if self._offset == asked:
@@ -91,7 +91,7 @@
             return await self.read_once(wait_ms, apply_snapshot, apply_changes, answer_timeout_s)
         self._log_store_regained()
         now_s = boot_time_s()
-        self.state.contact.note_answer(asked_s, now_s)
+        self.state.store_reachability.note_answer(asked_s, now_s)
         if isinstance(answer, NewestRecords):
             self._apply_snapshot(answer.records, answer.next_position, apply_snapshot)
         elif isinstance(answer, Records):
@@ -201,7 +201,7 @@
         """Log and record that the store was restored from a backup and lost later records."""
         topic = self._topic.name
         self.state.events.write("store_restored", topic=topic, era_before=before, era=era)
-        self.state.contact.note_restored(boot_time_s())
+        self.state.store_reachability.note_restored(boot_time_s())
 
     def _log_store_lost(self, reason: str) -> None:
         if not self._is_store_lost:
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -334,9 +334,9 @@
         records = [Record(f"h{number}", b"127.0.0.1:9") for number in range(99)]
 
         announcing._apply_snapshot(records)
-        before = entry.state.share("engine").left
+        before = entry.state.retry_share("engine").left
         announcing._apply_changes([Record("h99", b"127.0.0.1:9"), Record("h0", None)])
 
         assert len(entry.table) == 64
         assert before == 54 / 100
-        assert entry.state.share("engine").left == 54 / 100
+        assert entry.state.retry_share("engine").left == 54 / 100
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -12,7 +12,7 @@
 def state_of(*records):
     host = HostSettings("h", "a", "r", ("", 1), ("", 2), ("", 3), BOUNDS)
     state = EntryState(host, EntryEventLog("h", "a", CapturedLog()))
-    state.apply(config_of(route_of()), b"")
+    state.apply_config(config_of(route_of()), b"")
     state.registry.replace(records, 0.0)
     return state
 
@@ -23,7 +23,7 @@
     def test_usable_endpoint_is_allowed(self):
         state = state_of(endpoint("e1"))
 
-        assert state.may_send("engine", state.registry.find("e1")) == ""
+        assert state.reason_not_to_send("engine", state.registry.find("e1")) == ""
 
     def test_zone_evacuated_after_the_choice_is_refused(self):
         state = state_of(endpoint("e1"))
@@ -31,8 +31,8 @@
 
         state.update_evacuations({"a": True}, 5)
 
-        assert state.may_send("engine", chosen) == "zone is evacuated"
-        assert state.why_none("engine") == "zones_evacuated"
+        assert state.reason_not_to_send("engine", chosen) == "zone is evacuated"
+        assert state.no_endpoint_reason("engine") == "zones_evacuated"
 
     def test_endpoint_removed_after_the_choice_is_refused(self):
         state = state_of(endpoint("e1"))
@@ -40,8 +40,8 @@
 
         state.registry.remove("e1", 50.0)
 
-        assert state.may_send("engine", chosen) == "endpoint left"
-        assert state.why_none("engine") == "no_endpoint"
+        assert state.reason_not_to_send("engine", chosen) == "endpoint left"
+        assert state.no_endpoint_reason("engine") == "no_endpoint"
 
 
 class TestZones:
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -109,11 +109,11 @@
 
 
 def apply_older_settings(patch):
-    def apply(self, config, record):
+    def apply_config(self, config, record):
         self.config = config
         return True
 
-    patch.setattr(EntryState, "apply", apply)
+    patch.setattr(EntryState, "apply_config", apply_config)
 
 
 def work_on_for_callers_who_left(patch):
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -141,7 +141,7 @@
                 for name in ("e1", "e2"):
                     await harness.add_endpoint(name, script=fail_first)
                 await harness.wait_for_endpoints(2)
-                harness.entry._state.share("plain")._slack = 5
+                harness.entry._state.retry_share("plain")._slack = 5
                 return await harness.send_request()
 
         assert anyio.run(run)[0] == 200
@@ -427,7 +427,7 @@
                 for name in ("e1", "e2"):
                     await harness.add_endpoint(name, script=reset_or_resume)
                 await harness.wait_for_endpoints(2)
-                harness.entry._state.share("plain")._slack = 5
+                harness.entry._state.retry_share("plain")._slack = 5
                 return await harness.send_request(path="/s/")
 
         _, _, body, whole = anyio.run(run)
@@ -505,7 +505,7 @@
     SERVICES = ({"name": "plain", "cold-start-s": 3, "cold-per-s": 4},)
 
     async def ask_many(self, harness, count):
-        harness.entry._state.cold.note_entries(["entry-1"])
+        harness.entry._state.cold_start_limiter.note_entries(["entry-1"])
         await anyio.sleep(1.1)
         return [(await harness.send_request(request_id=f"q{n}"))[0] for n in range(count)]
 
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -110,7 +110,7 @@
     def sender(self, *hosts):
         """Return an entry's `GossipSender` that has sent the first message to each of these peers."""
         self.state, self.client = entry_state(), FakeClient()
-        self.moved = self.state.moved
+        self.moved = self.state.moved_sessions
         self.peers = PeerTable(random.Random(1))
         for host in hosts:
             self.peers.put(host, (host, 1))
