--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -65,7 +65,7 @@
         peer = self._at(address)
         if peer is None:
             return None
-        return peer.state.quarantine.take(CrashReport.decode(crashes)).encode()
+        return peer.state.quarantine.apply_report(CrashReport.decode(crashes)).encode()
 
     def _at(self, address: Address) -> FuzzEntry | None:
         """Return the entry at an address; None where it can't be reached."""
--- a/src/beryljunction/gateway/crashreporter.py
+++ b/src/beryljunction/gateway/crashreporter.py
@@ -35,12 +35,12 @@
         """Send reports until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                await self._quarantine.untold.wait()
+                await self._quarantine.pending_changed.wait()
                 self.step(group)
 
     def step(self, group: anyio.abc.TaskGroup) -> None:
         """Start sending to each entry with pending reports, and start saving new quarantines."""
-        for host in self._quarantine.hosts_to_tell():
+        for host in self._quarantine.hosts_with_pending_reports():
             if host not in self._busy:
                 self._busy.add(host)
                 group.start_soon(self._send_all, host)
@@ -51,7 +51,7 @@
         try:
             while (report := self._quarantine.report_for(host)) != CrashReport():
                 if await self._send(host, report):
-                    self._quarantine.note_told(host, report)
+                    self._quarantine.mark_sent(host, report)
                 else:
                     await anyio.sleep(_RETRY_PAUSE_S)
         finally:
@@ -66,7 +66,7 @@
         if answer is None:
             return False
         try:
-            self._quarantine.take(CrashReport.decode(answer))
+            self._quarantine.apply_report(CrashReport.decode(answer))
         except ValueError as error:
             self._state.events.write("peer_rejected", status=200, problem=str(error))
             return False
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -145,7 +145,7 @@
 
     def _end_if_quarantined(self, plan: AttemptPlan) -> bool:
         """End the request if it is quarantined for crashing endpoints; return whether it is."""
-        if self._state.quarantine.left_s(self._log.digest) <= 0.0:
+        if self._state.quarantine.remaining_s(self._log.digest) <= 0.0:
             return False
         self._give_up(plan.give_up(), _QUARANTINED)
         return True
@@ -308,7 +308,7 @@
     def _retry_after_s(self, reason: str) -> float | None:
         """Return the Retry-After value of a refusal in seconds; None to send no such header."""
         if reason == _QUARANTINED:
-            return self._state.quarantine.left_s(self._log.digest)
+            return self._state.quarantine.remaining_s(self._log.digest)
         deadline_ms = self._caller_headers.deadline_ms
         left_s = None
         if deadline_ms is not None:
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -101,7 +101,7 @@
         return b""
 
     def _apply_crashes(self, body: bytes) -> bytes:
-        return self._state.quarantine.take(CrashReport.decode(body)).encode()
+        return self._state.quarantine.apply_report(CrashReport.decode(body)).encode()
 
 
 def _format_query(version: int, offset: int) -> str:
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -218,7 +218,7 @@
             await self._stopping.wait()
             await self._drain(frontend, listener)
             if registration is not None:
-                await registration.withdraw()
+                await registration.deregister()
             group.cancel_scope.cancel()
         self._events.write("stopped")
 
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -48,7 +48,7 @@
     entries and saves the quarantine in the store, for entries that start later.
 
     Attributes:
-        untold: Set when there is something to send or to save.
+        pending_changed: Set when there is something to send or to save.
 
     Args:
         host: Name of this entry's host.
@@ -63,13 +63,13 @@
         self._table = CrashTable()
         self._pending: dict[str, dict[_Row, float]] = collections.defaultdict(dict)
         self._unsaved: list[str] = []
-        self.untold = AutoResetEvent()
+        self.pending_changed = AutoResetEvent()
 
     def __len__(self) -> int:
         """Return the number of quarantined requests."""
         return len(self._table.quarantined(boot_time_s()))
 
-    def left_s(self, digest: str) -> float:
+    def remaining_s(self, digest: str) -> float:
         """Return how much longer a request stays in quarantine; 0 if it is not in quarantine."""
         return self._table.remaining_s(digest, boot_time_s())
 
@@ -89,7 +89,7 @@
             self._discard_pending_crashes(host, digest)
             self._enqueue(host, _Served(digest))
 
-    def take(self, report: CrashReport) -> CrashReport:
+    def apply_report(self, report: CrashReport) -> CrashReport:
         """Apply another entry's report; return which of the reported requests are in quarantine.
 
         The answer is needed by an entry that has just started: it is not yet on every list, so it
@@ -102,7 +102,7 @@
         for crash in report.crashes:
             self._count_crash(crash)
         digests = {crash.digest for crash in report.crashes}
-        lefts_s = {digest: self.left_s(digest) for digest in digests}
+        lefts_s = {digest: self.remaining_s(digest) for digest in digests}
         return CrashReport(
             quarantined=tuple(row for row in lefts_s.items() if row[1] > 0.0),
         )
@@ -122,16 +122,16 @@
             tuple((digest, self._table.remaining_s(digest, now_s)) for digest in digests),
         )
 
-    def note_told(self, host: str, report: CrashReport) -> None:
+    def mark_sent(self, host: str, report: CrashReport) -> None:
         """Record that another entry has received a report."""
         rows = self._pending.get(host, {})
-        told: list[_Row] = [*report.crashes]
-        told += [_Served(digest) for digest in report.served]
-        told += [_Quarantined(digest) for digest, _ in report.quarantined]
-        for row in told:
+        sent: list[_Row] = [*report.crashes]
+        sent += [_Served(digest) for digest in report.served]
+        sent += [_Quarantined(digest) for digest, _ in report.quarantined]
+        for row in sent:
             rows.pop(row, None)
 
-    def hosts_to_tell(self) -> list[str]:
+    def hosts_with_pending_reports(self) -> list[str]:
         """Return the hosts of known entries for which there is something to send."""
         for host in [host for host in self._pending if host not in self._fan_out]:
             del self._pending[host]
@@ -144,7 +144,7 @@
         lefts_s = self._table.quarantined(boot_time_s())
         return tuple(_record(digest, left_s) for digest, left_s in lefts_s.items())
 
-    def take_record(self, record: Record) -> None:
+    def apply_record(self, record: Record) -> None:
         """Apply a record of the store; its removal does not end a quarantine here."""
         if record.value is None:
             return
@@ -181,7 +181,7 @@
             "request_quarantined", digest=crash.digest, endpoint=crash.incarnation_id[0]
         )
         self._unsaved.append(crash.digest)
-        self.untold.set()
+        self.pending_changed.set()
         for host in self._fan_out.addresses():
             self._enqueue(host, _Quarantined(crash.digest))
 
@@ -191,7 +191,7 @@
 
     def _enqueue(self, host: str, row: _Row) -> None:
         self._pending[host][row] = boot_time_s()
-        self.untold.set()
+        self.pending_changed.set()
 
     def _discard_pending_crashes(self, host: str, digest: str) -> None:
         """Drop the crashes of a request that have not been sent yet."""
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/receiving.py
@@ -43,7 +43,7 @@
         """
         update = Update.decode(message)
         if update.host not in self._state.fan_out:
-            self._entries.doubt()
+            self._entries.mark_incomplete()
             raise ValueError(
                 f"expected an update from a listed entry, got one from {update.host!r}"
             )
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -34,7 +34,7 @@
 # Entries that find their records missing rewrite them at a random time within this span.
 _REWRITE_SPREAD_S = 1.0
 # Shutdown can't wait for the store; a stale record costs each peer one failed request.
-_WITHDRAW_TIMEOUT_S = 0.5
+_DEREGISTER_TIMEOUT_S = 0.5
 
 
 class Registration:
@@ -91,7 +91,7 @@
             for record in records:
                 await self._write(record)
 
-    def doubt(self) -> None:
+    def mark_incomplete(self) -> None:
         """Mark the list as incomplete after a message from an entry that is not on it.
 
         Entries that start together read lists which only contain those that started earlier.
@@ -154,9 +154,9 @@
         for key in self._state.quarantine.expired_keys():
             await self._store.put(ENTRY_ADDRESSES, key, None)
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Remove the address from the store because this entry shuts down."""
-        with anyio.move_on_after(_WITHDRAW_TIMEOUT_S):
+        with anyio.move_on_after(_DEREGISTER_TIMEOUT_S):
             await self._store.put(ENTRY_ADDRESSES, self._host, None)
 
     def _apply_snapshot(self, records: Iterable[Record]) -> None:
@@ -195,7 +195,7 @@
         rows = []
         for record in records:
             if is_quarantine_key(record.key):
-                self._state.quarantine.take_record(record)
+                self._state.quarantine.apply_record(record)
                 continue
             address = parse_address((record.value or b"").decode("latin-1"))
             if address is not None and record.key != self._host:
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -148,7 +148,7 @@
         self.member.sent_bytes += OVERHEAD_BYTES + len(crashes)
         if other is None:
             return None
-        answer = other.state.quarantine.take(CrashReport.decode(crashes)).encode()
+        answer = other.state.quarantine.apply_report(CrashReport.decode(crashes)).encode()
         await anyio.sleep(DELAY_S)
         return answer
 
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -145,7 +145,7 @@
         return counting_hosts
 
     def is_quarantined_by_all(self, world):
-        return world.all_know(lambda state: state.quarantine.left_s(CRASHES[0].digest) > 0.0)
+        return world.all_know(lambda state: state.quarantine.remaining_s(CRASHES[0].digest) > 0.0)
 
     @pytest.mark.parametrize("entries", [1, 2, 4, 24, 68, 350])
     def test_quarantine_reaches_all_entries_in_time(self, entries):
@@ -166,7 +166,7 @@
             world.advance(PROPAGATION_S)
 
             rows = [row for row in world.members.values() if not row.is_cut]
-            assert all(row.state.quarantine.left_s(CRASHES[0].digest) > 0.0 for row in rows)
+            assert all(row.state.quarantine.remaining_s(CRASHES[0].digest) > 0.0 for row in rows)
 
     def test_entry_that_was_cut_off_gets_the_quarantine(self):
         with FleetWorld(24) as world:
@@ -233,12 +233,12 @@
             late = world.members["front-3"]
             for row in world.members.values():
                 row.state.fan_out.update({}, [late.name])
-                row.state.quarantine.take(CrashReport((), (), (("d", 60.0),)))
+                row.state.quarantine.apply_report(CrashReport((), (), (("d", 60.0),)))
             late.state.quarantine._table._quarantined.clear()
             late.state.quarantine.note_crash("d", known("e1"))
             world.advance(PROPAGATION_S)
 
-            assert late.state.quarantine.left_s("d") > 0.0
+            assert late.state.quarantine.remaining_s("d") > 0.0
 
     def test_crash_reports_of_many_requests_stay_within_the_control_traffic_limit(self):
         """Guards against reporting a crash to all entries for each request of the endpoint."""
@@ -258,7 +258,7 @@
         with FleetWorld(1) as world:
             world.advance(STARTED_S)
             quarantine = world.members["front-0"].state.quarantine
-            quarantine.take(REPORT)
+            quarantine.apply_report(REPORT)
 
             bad, _ = sorted(quarantine.records(), key=lambda row: row.key)
 
@@ -269,9 +269,9 @@
     def test_malformed_or_expired_record_changes_nothing(self, value):
         with FleetWorld(1) as world:
             quarantine = world.members["front-0"].state.quarantine
-            quarantine.take_record(Record("quarantine/d", value))
+            quarantine.apply_record(Record("quarantine/d", value))
 
-            assert quarantine.left_s("d") == 0.0
+            assert quarantine.remaining_s("d") == 0.0
 
     def test_expired_quarantine_is_not_counted(self):
         with FleetWorld(4) as world:
@@ -279,7 +279,7 @@
             row = next(
                 row for row in world.members.values() if not row.state.fan_out.is_first_reader
             )
-            row.state.quarantine.take(CrashReport((), (), (("bad", 5.0),)))
+            row.state.quarantine.apply_report(CrashReport((), (), (("bad", 5.0),)))
 
             assert len(row.state.quarantine) == 1
 
@@ -291,7 +291,7 @@
         with FleetWorld(4) as world:
             world.advance(STARTED_S)
             for row in world.members.values():
-                row.state.quarantine.take(CrashReport((), (), (("bad", 5.0),)))
+                row.state.quarantine.apply_report(CrashReport((), (), (("bad", 5.0),)))
             world.put("keyed.entries", "quarantine/bad", b"9")
             world.advance(60.0)
 
