--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -166,7 +166,7 @@
         self.model = PlatformStoreModel(retention_s=20.0)
         self.version = 0
         self.written_s = {}
-        self.broken = []
+        self.violations = []
         self.ages_s = []
         self.members = {}
         self.tasks = []
@@ -283,7 +283,7 @@
                 continue
             newer = [at_s for version, at_s in self.written_s.items() if version > config.version]
             if newer and confirmed_s > min(newer):
-                self.broken.append((row.name, config.version, confirmed_s - min(newer)))
+                self.violations.append((row.name, config.version, confirmed_s - min(newer)))
             self.ages_s.append(row.state.lease.age_s(now_s))
 
     def calls(self):
@@ -294,17 +294,17 @@
         self.advance(duration_s)
         return self.calls() - before
 
-    def oldest_in(self, duration_s):
+    def max_age_in(self, duration_s):
         """Let time pass, and return the largest age of any entry's settings meanwhile."""
         self.ages_s.clear()
         self.advance(duration_s)
         return max(self.ages_s)
 
-    def in_order(self):
+    def hosts_by_rank(self):
         """Return the names of all entries, the store's readers first."""
         return next(iter(self.members.values())).state.fan_out.hosts
 
-    def lose(self, names):
+    def cut_off(self, names):
         """Cut some entries off from the store and from the other entries."""
         self.fault(StoreFault.SILENT, names)
         for name in names:
@@ -319,7 +319,7 @@
             self.advance(0.02, step_s=0.02)
         return self.loop.now_s - begun_s
 
-    def all_know(self, check):
+    def holds_for_all(self, check):
         return all(check(row.state) for row in self.members.values())
 
 
@@ -377,7 +377,7 @@
     """Adds endpoints that join and leave, and an operator who evacuates availability zones.
 
     Attributes:
-        found: State of entries that contradicts their own last confirmation.
+        violations: State of entries that contradicts their own last confirmation.
     """
 
     # Age of the settings above which an entry may have missed records that expired in an outage.
@@ -396,7 +396,7 @@
         self.missed_s = {}
         self.hung_s = 0.0
         self.number = 0
-        self.found = []
+        self.violations = []
 
     def play(self, steps=16):
         actions = (
@@ -496,11 +496,11 @@
     def look_at_zones(self, name, state):
         for zone, (is_evacuated, at_s) in self.zone_s.items():
             if state.lease.confirmed_s > at_s and (zone in state.evacuations.zones) != is_evacuated:
-                self.found.append((name, zone, is_evacuated))
+                self.violations.append((name, zone, is_evacuated))
 
     def look_at_endpoints(self, name, state, now_s):
         usable = {row.record.endpoint_id for row in state.registry.usable("s", now_s)}
         for endpoint, departed_s in self.departed_s.items():
             since_s = max(departed_s, self.hung_s, self.missed_s.get(name, 0.0))
             if endpoint in usable and now_s - since_s > self.KEPT_S:
-                self.found.append((name, endpoint, now_s - departed_s))
+                self.violations.append((name, endpoint, now_s - departed_s))
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -116,7 +116,7 @@
     """Every entry applies evacuations, whichever way it learns of them."""
 
     def knows(self, world, *zones):
-        return world.all_know(lambda state: state.evacuations.zones == set(zones))
+        return world.holds_for_all(lambda state: state.evacuations.zones == set(zones))
 
     def evacuate(self, world, zone, is_evacuated=True):
         world.put("keyed.op", f"evacuate/{zone}", b"{}" if is_evacuated else None)
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -18,7 +18,7 @@
         history.play()
         history.heal(())
         history.advance(6.0)
-        return history.found
+        return history.violations
 
 
 class TestRecords:
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -39,7 +39,7 @@
         """Guards against confirmations that arrive after an entry has begun to read the store."""
         with FleetWorld(entries, bounds=bounds) as world:
             world.advance(STARTED_S)
-            names = world.in_order()
+            names = world.hosts_by_rank()
             before = {name: world.members[name].store.calls for name in names}
             world.advance(9.0)
             calls = [world.members[name].store.calls - before[name] for name in names]
@@ -56,7 +56,7 @@
         for entries, phase_s in zip((4, 5, 22, 22), phases(4), strict=True):
             with FleetWorld(entries, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
-                first, *sound = world.in_order()
+                first, *sound = world.hosts_by_rank()
                 world.fault(StoreFault.SILENT, [first])
                 write_settings_repeatedly(world, 3.0)
                 world.endpoint("e3", "draining")
@@ -69,7 +69,7 @@
         for hung_s, phase_s in zip((0.2, 0.6, 1.0, 2.2), phases(4), strict=True):
             with FleetWorld(entries, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
-                names = list(world.in_order())
+                names = list(world.hosts_by_rank())
                 world.members[names[0]].store.hanging.add(ENDPOINTS)
                 world.advance(hung_s)
                 world.endpoint("e3", "draining")
@@ -83,8 +83,8 @@
         for seed, phase_s in enumerate(phases(4)):
             with FleetWorld(entries, seed=seed, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
-                names = list(world.in_order())
-                world.lose(names[:lost])
+                names = list(world.hosts_by_rank())
+                world.cut_off(names[:lost])
                 world.endpoint("e3", "draining")
 
                 assert world.known_after(is_leaving, names[lost:]) <= SHORT.drain_ms / 1000
@@ -94,8 +94,8 @@
         for seed, phase_s in enumerate(phases(4)):
             with FleetWorld(22, seed=seed, bounds=bounds) as world:
                 world.advance(STARTED_S + phase_s)
-                names = list(world.in_order())
-                world.lose(names[:4])
+                names = list(world.hosts_by_rank())
+                world.cut_off(names[:4])
                 world.endpoint("e3", "draining")
 
                 assert world.known_after(is_leaving, names[4:]) <= bounds.drain_ms / 1000
@@ -105,7 +105,7 @@
         for phase_s in phases(12):
             with FleetWorld(1, bounds=SHORT) as world:
                 world.advance(STARTED_S)
-                names = world.in_order()
+                names = world.hosts_by_rank()
                 world.members[names[0]].store.hanging.add(ENDPOINTS)
                 world.advance(phase_s, step_s=0.01)
                 world.endpoint("e3", "draining")
@@ -156,9 +156,9 @@
     def test_fallback_to_reading_is_logged_once(self):
         with FleetWorld(4, bounds=SHORT) as world:
             world.advance(STARTED_S)
-            first, second, *_ = world.in_order()
+            first, second, *_ = world.hosts_by_rank()
             events = world.members[second].state.events
-            world.lose([first])
+            world.cut_off([first])
             before = events_of(events, "stands_in")
             world.advance(6.0)
 
@@ -181,8 +181,8 @@
         for seed, phase_s in enumerate(phases(12)):
             with FleetWorld(entries, seed=seed, bounds=SHORT) as world:
                 world.advance(STARTED_S + phase_s)
-                names = list(world.in_order())
-                world.lose(names[:lost])
+                names = list(world.hosts_by_rank())
+                world.cut_off(names[:lost])
                 world.configure()
                 version = world.version
 
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -42,16 +42,16 @@
             world.advance(0.15)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.all_know(lambda state: state.registry.find("e3").record.is_draining)
-            assert world.broken == []
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.holds_for_all(lambda state: state.registry.find("e3").record.is_draining)
+            assert world.violations == []
 
     @pytest.mark.parametrize("entries", [4, 22, 68, 350])
     def test_settings_never_get_old(self, entries):
         with FleetWorld(entries) as world:
             world.advance(STARTED_S)
 
-            assert world.oldest_in(10.0) < 2.0
+            assert world.max_age_in(10.0) < 2.0
 
     def test_control_traffic_of_an_entry_is_bounded(self):
         with FleetWorld(350) as world:
@@ -78,7 +78,7 @@
             world.advance(0.6)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
+            assert world.holds_for_all(lambda state: state.config.version == version)
             assert max(row.sent_bytes for row in world.members.values()) < 20_000
 
     def test_large_settings_in_quick_succession_take_effect_in_time(self):
@@ -95,9 +95,9 @@
             world.advance(0.7)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
+            assert world.holds_for_all(lambda state: state.config.version == version)
             assert max(late_s) < 1.0
-            assert world.broken == []
+            assert world.violations == []
 
 
 class TestFailures:
@@ -116,12 +116,12 @@
             for name in world.readers()[:lost]:
                 world.kill(name)
 
-            assert world.oldest_in(8.0) < NOT_READY_S
+            assert world.max_age_in(8.0) < NOT_READY_S
             world.configure()
             world.advance(3.5)
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.broken == []
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.violations == []
             assert world.calls_in(10.0) < 10 * 2.0 * entries / 2
 
     def test_rejected_readers_get_updates_from_other_readers(self):
@@ -132,8 +132,8 @@
             world.advance(0.5)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.oldest_in(9.0) < 2.0
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.max_age_in(9.0) < 2.0
 
     @pytest.mark.parametrize("fault", [StoreFault.BUSY, StoreFault.SILENT, StoreFault.LATE])
     def test_other_entries_take_over_when_all_readers_are_rejected(self, fault):
@@ -145,8 +145,8 @@
             world.advance(6.0)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.broken == []
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.violations == []
 
     def test_settings_of_all_entries_age_during_an_outage(self):
         """Guards against entries that renew each other's settings without the store.
@@ -165,13 +165,13 @@
             assert not any(
                 row.state.lease.confirmed_s > begun_s + 0.05 for row in world.members.values()
             )
-            assert world.broken == []
+            assert world.violations == []
 
             world.fault(StoreFault.NONE)
             world.advance(2.0)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
+            assert world.holds_for_all(lambda state: state.config.version == version)
 
     def test_return_of_the_store_causes_no_thundering_herd(self):
         """After six seconds without the store, only a few of 68 entries read it."""
@@ -201,14 +201,14 @@
             world.advance(1.0)
 
             now_s = world.loop.world_s
-            assert world.all_know(lambda state: len(state.registry.usable("s", now_s)) == 4)
+            assert world.holds_for_all(lambda state: len(state.registry.usable("s", now_s)) == 4)
 
             for number in range(3):
                 world.endpoint(f"e{number}")
             world.advance(5.0)
 
             now_s = world.loop.world_s
-            assert world.all_know(lambda state: len(state.registry.usable("s", now_s)) == 3)
+            assert world.holds_for_all(lambda state: len(state.registry.usable("s", now_s)) == 3)
 
     def test_endpoint_that_left_in_an_outage_is_dropped_while_hosts_reconnect(self):
         """Guards against keeping a departed endpoint two seconds longer for each reconnecting host.
@@ -231,7 +231,7 @@
                     world.fault(StoreFault.NONE, readers[2:])
 
             now_s = world.loop.world_s
-            assert world.all_know(lambda state: len(state.registry.usable("s", now_s)) == 3)
+            assert world.holds_for_all(lambda state: len(state.registry.usable("s", now_s)) == 3)
 
     def test_resumed_entry_does_not_take_old_messages_for_new(self):
         """Guards against old messages that renew the settings of a host which was paused.
@@ -250,7 +250,7 @@
             world.advance(4.05)
 
             assert paused.state.lease.age_s(world.loop.world_s) > 3.9
-            assert world.broken == []
+            assert world.violations == []
 
     def test_restarted_entries_get_updates_again(self):
         with FleetWorld(22) as world:
@@ -264,9 +264,9 @@
             world.advance(0.2)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.oldest_in(5.0) < 2.2
-            assert world.broken == []
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.max_age_in(5.0) < 2.2
+            assert world.violations == []
 
     def test_restart_of_many_entries_does_not_overload_the_store(self):
         """Guards against a burst of reads after 37 of 68 entries restart together.
@@ -280,15 +280,15 @@
             addresses = {name: world.members[name].address for name in lost}
             for name in lost:
                 world.kill(name)
-            assert world.oldest_in(2.0) < NOT_READY_S
+            assert world.max_age_in(2.0) < NOT_READY_S
             for name, address in addresses.items():
                 world.start(name, address)
             calls = [world.calls_in(1.0) for _ in range(6)]
 
             assert sum(calls[:4]) < len(lost) * 6 + 4 * 2.0 * 8
             assert max(calls[4:]) < 2.0 * 8
-            assert world.oldest_in(3.0) < 2.0
-            assert world.broken == []
+            assert world.max_age_in(3.0) < 2.0
+            assert world.violations == []
 
     def test_fleet_with_differing_lists_stays_up_to_date(self):
         """Some entries know only half of the others, so they compute a different fan-out tree."""
@@ -298,8 +298,8 @@
                 known = dict(row.state.fan_out.addresses())
                 row.state.fan_out.replace(dict(list(known.items())[::2]))
 
-            assert world.oldest_in(10.0) < NOT_READY_S
-            assert world.broken == []
+            assert world.max_age_in(10.0) < NOT_READY_S
+            assert world.violations == []
 
 
 class TestEndpointRecords:
@@ -313,7 +313,7 @@
                 world.endpoint(f"many{number}")
             world.advance(2.0)
 
-            assert world.all_know(lambda state: len(state.registry) == 2_004)
+            assert world.holds_for_all(lambda state: len(state.registry) == 2_004)
             assert max(row.sent_bytes for row in world.members.values()) < 60_000
 
     def test_records_are_sent_by_one_source_only(self):
@@ -328,7 +328,7 @@
             size = sum(len(row.value) for row in records)
             sent = sum(row.sent_bytes for row in world.members.values())
 
-            assert world.all_know(lambda state: len(state.registry) == 44)
+            assert world.holds_for_all(lambda state: len(state.registry) == 44)
             assert sent < 68 * 2.2 * size
 
     def test_second_source_sends_what_the_first_did_not_send(self):
@@ -364,7 +364,7 @@
             world.advance(1.5)
 
             version = world.version
-            assert world.all_know(lambda state: state.config.version == version)
+            assert world.holds_for_all(lambda state: state.config.version == version)
 
 
 class TestHistories:
@@ -384,9 +384,9 @@
             world.advance(8.0)
 
             version = world.version
-            assert world.broken == []
-            assert world.all_know(lambda state: state.config.version == version)
-            assert world.oldest_in(4.0) < NOT_READY_S
+            assert world.violations == []
+            assert world.holds_for_all(lambda state: state.config.version == version)
+            assert world.max_age_in(4.0) < NOT_READY_S
 
     def test_ages_relative_to_the_arrival_are_detected(self, monkeypatch):
         """Without the receiver's clock in them, messages that waited in a socket look new."""
@@ -404,7 +404,7 @@
         with FleetWorld(22, seed=seed) as world:
             world.advance(4.0)
             History(world, seed).play()
-            return bool(world.broken)
+            return bool(world.violations)
 
 
 ORIGINAL = Update.decode
@@ -426,7 +426,7 @@
             world.configure()
             world.advance(3.0)
 
-            assert world.broken
+            assert world.violations
 
     def test_fleet_without_fallback_goes_stale(self, monkeypatch):
         monkeypatch.setattr(
@@ -438,7 +438,7 @@
             for name in world.readers():
                 world.kill(name)
 
-            assert world.oldest_in(8.0) > NOT_READY_S
+            assert world.max_age_in(8.0) > NOT_READY_S
 
 
 class TestMessages:
@@ -526,8 +526,8 @@
                 with pytest.raises(ValueError, match="expected"):
                     one.updates.apply(message)
 
-            assert world.oldest_in(3.0) < 2.0
-            assert world.broken == []
+            assert world.max_age_in(3.0) < 2.0
+            assert world.violations == []
 
     def test_entry_that_does_not_answer_costs_only_the_timeout(self):
         async def run():
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -145,7 +145,9 @@
         return counting_hosts
 
     def is_quarantined_by_all(self, world):
-        return world.all_know(lambda state: state.quarantine.remaining_s(CRASHES[0].digest) > 0.0)
+        return world.holds_for_all(
+            lambda state: state.quarantine.remaining_s(CRASHES[0].digest) > 0.0
+        )
 
     @pytest.mark.parametrize("entries", [1, 2, 4, 24, 68, 350])
     def test_quarantine_reaches_all_entries_in_time(self, entries):
@@ -224,7 +226,7 @@
             others[5].state.quarantine.note_crash(CRASHES[2].digest, known("e2"))
             world.advance(PROPAGATION_S)
 
-            assert not world.all_know(lambda state: len(state.quarantine) > 0)
+            assert not world.holds_for_all(lambda state: len(state.quarantine) > 0)
 
     def test_entry_that_is_on_no_list_yet_gets_the_quarantine_in_the_answer(self):
         """Guards against a new entry that misses the announcement and sends a crashing request."""
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -264,7 +264,7 @@
             world.advance(CAUGHT_UP_S)
 
             assert differing(world) == []
-            assert world.all_know(lambda state: state.era == 1)
+            assert world.holds_for_all(lambda state: state.era == 1)
 
     def test_offsets_reassigned_before_the_next_read(self):
         """Guards against an entry that continues from its offset of before the restoration."""
@@ -287,7 +287,7 @@
             world.advance(CAUGHT_UP_S)
 
             assert differing(world) == []
-            assert world.all_know(lambda state: state.era == 2)
+            assert world.holds_for_all(lambda state: state.era == 2)
 
     def test_first_reader_is_killed_during_the_outage(self):
         with FleetWorld(24) as world:
@@ -322,13 +322,13 @@
             self.restore(world, away_s=0.1)
             world.advance(0.8)
 
-            assert world.all_know(lambda state: state.registry.find("late") is not None)
+            assert world.holds_for_all(lambda state: state.registry.find("late") is not None)
 
             world.advance(LAPSE_S + CAUGHT_UP_S)
             for row in world.members.values():
                 row.state.registry.expire(world.loop.world_s)
 
-            assert world.all_know(lambda state: state.registry.find("late") is None)
+            assert world.holds_for_all(lambda state: state.registry.find("late") is None)
 
     def test_quarantine_is_rewritten(self):
         with FleetWorld(4) as world:
