--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -13,6 +13,7 @@
 from beryljunction.bench.policy.scenarios import DEADLINE_S, Call, Fault, Scenario, Size
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.systems import (
+    AdmissionRefused,
     AdmissionSystem,
     AttemptSystem,
     ListedEndpoint,
@@ -21,13 +22,12 @@
     PlacementQuery,
     PlacementSystem,
     PointerSystem,
-    Refuse,
     RetryBudget,
     Step,
     Try,
     chat_key_of,
 )
-from beryljunction.tables import Endpoint, EndpointTable, Work
+from beryljunction.tables import Endpoint, EndpointTable, SidecarRequest
 from beryljunction.wire import ChatMoved, encode, encode_rows
 
 __all__ = ["Asked", "FakeSidecar", "World"]
@@ -109,7 +109,7 @@
         if asked.try_number != number:
             return
         now_s, call = self.world.now_s, asked.call
-        work = Work(
+        work = SidecarRequest(
             request_id=str(asked.number),
             account=str(call.account),
             arrived_s=now_s,
@@ -124,7 +124,7 @@
         )
         self.admission.load.merge(step.loads, now_s)
         decision = self.admission.offer(work, now_s)
-        if isinstance(decision, Refuse):
+        if isinstance(decision, AdmissionRefused):
             self._answer(asked, number, decision.refusal)
             return
         self.asked[asked.number] = (asked, number)
@@ -161,7 +161,7 @@
     def _tick(self) -> None:
         for decision in self.admission.tick(self.world.now_s):
             asked, number = self.asked[int(decision.request_id)]
-            if isinstance(decision, Refuse):
+            if isinstance(decision, AdmissionRefused):
                 del self.asked[asked.number]
                 self._answer(asked, number, decision.refusal)
             else:
--- a/src/beryljunction/bench/slopes/state.py
+++ b/src/beryljunction/bench/slopes/state.py
@@ -17,9 +17,9 @@
     EndpointTable,
     PeerTable,
     RequestTable,
+    SidecarRequest,
     TicketRow,
     TicketTable,
-    Work,
 )
 
 __all__ = ["STATES", "StateSubject", "measure_state"]
@@ -97,7 +97,9 @@
         table = RequestTable()
         for i in range(count):
             key = i * _HASH_STEP & _MASK
-            table.add(Work(f"{i:032x}", f"account-{i % 350}", 1.0 + i, 31.0 + i, key, 1000 + i))
+            table.add(
+                SidecarRequest(f"{i:032x}", f"account-{i % 350}", 1.0 + i, 31.0 + i, key, 1000 + i)
+            )
         return table
 
 
--- a/src/beryljunction/bench/ticks.py
+++ b/src/beryljunction/bench/ticks.py
@@ -8,8 +8,14 @@
 import attrs
 
 from beryljunction.loads import LoadRow
-from beryljunction.systems import AdmissionLimits, AdmissionSystem, LoadSystem, PointerSystem, Start
-from beryljunction.tables import Work
+from beryljunction.systems import (
+    AdmissionLimits,
+    AdmissionStarted,
+    AdmissionSystem,
+    LoadSystem,
+    PointerSystem,
+)
+from beryljunction.tables import SidecarRequest
 
 __all__ = ["TickCosts", "measure_ticks", "tick"]
 
@@ -68,7 +74,7 @@
     rng = random.Random(1)
     for i in range(_WAITING):
         admission.offer(_work(i, 0.0, rng), 0.0)
-    running = [d.request_id for d in admission.tick(0.0) if isinstance(d, Start)]
+    running = [d.request_id for d in admission.tick(0.0) if isinstance(d, AdmissionStarted)]
     costs = []
     for i in range(_TICKS):
         now_s = 1.0 + 0.05 * i
@@ -78,13 +84,13 @@
         began_s = time.perf_counter()
         decisions = admission.tick(now_s)
         costs.append((time.perf_counter() - began_s) * 1e6)
-        running += [d.request_id for d in decisions if isinstance(d, Start)]
+        running += [d.request_id for d in decisions if isinstance(d, AdmissionStarted)]
         admission.offer(_work(_WAITING + i, now_s, rng), now_s)
     return costs
 
 
-def _work(number: int, now_s: float, rng: random.Random) -> Work:
-    return Work(
+def _work(number: int, now_s: float, rng: random.Random) -> SidecarRequest:
+    return SidecarRequest(
         request_id=f"r{number}",
         account=f"account-{number % _ACCOUNTS}",
         arrived_s=now_s,
--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -26,6 +26,7 @@
 from beryljunction.streams import DONE, FrameLog, FrameNumberer, StreamName, event_position
 from beryljunction.systems import (
     AdmissionLimits,
+    AdmissionRefused,
     AdmissionSystem,
     AlreadyRunning,
     Arrival,
@@ -40,7 +41,6 @@
     LedgerLimits,
     LoadSystem,
     PointerSystem,
-    Refuse,
     Replay,
     Run,
     TicketLedger,
@@ -51,7 +51,7 @@
     claim_refusal,
     key_refusal,
 )
-from beryljunction.tables import Answer, Stamp, Work
+from beryljunction.tables import Answer, SidecarRequest, Stamp
 
 __all__ = ["Job", "Limits", "Sidecar", "SERVICE"]
 
@@ -270,7 +270,7 @@
 
     def _admit(self, job: Job) -> None:
         call = job.call
-        work = Work(
+        work = SidecarRequest(
             call.try_id,
             call.account,
             self.now_s,
@@ -281,7 +281,7 @@
             ignore_pointer=call.ignore_pointer,
         )
         decision = self.admission.offer(work, self.now_s)
-        if isinstance(decision, Refuse):
+        if isinstance(decision, AdmissionRefused):
             self._give_up(job, decision.refusal)
             return
         self._oracle.accepted(self.endpoint_id, self.is_leaving)
@@ -293,7 +293,7 @@
             job = self.jobs.get(decision.request_id)
             if job is None or job.ended_s is not None:
                 continue
-            if isinstance(decision, Refuse):
+            if isinstance(decision, AdmissionRefused):
                 self._give_up(job, decision.refusal)
             else:
                 self._start(job)
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -17,13 +17,13 @@
 from beryljunction.streams import FrameLog, StreamName
 from beryljunction.systems import (
     AdmissionLimits,
+    AdmissionRefused,
     AdmissionSystem,
     AlreadyRunning,
     Arrival,
     Asked,
     LoadSystem,
     PointerSystem,
-    Refuse,
     Replay,
     TicketLedger,
     TicketMint,
@@ -31,7 +31,7 @@
     claim_refusal,
 )
 from beryljunction.systems import Run as Claimed
-from beryljunction.tables import Answer, Prefix, PrefixTable, Stamp, Work
+from beryljunction.tables import Answer, Prefix, PrefixTable, SidecarRequest, Stamp
 from beryljunction.timeline import Timeline
 from beryljunction.watches import WatchList
 from beryljunction.wire import Attach, Cancel, Envelope
@@ -103,7 +103,7 @@
         service = self.service
         self.admission.limits = AdmissionLimits.from_service(service)
         self.admission.weights = {name: row.weight for name, row in view.accounts.items()}
-        self.admission.account_waiting = {
+        self.admission.max_waiting_by_account = {
             account: service_settings.max_waiting_per_account
             for (account, name), service_settings in view.account_services.items()
             if name == self._file.service
@@ -179,7 +179,7 @@
         self.admission.load.merge(run.envelope.loads, now_s)
         work = _work_of(run.envelope, self._priority(run.envelope))
         decision = self.admission.offer(work, now_s)
-        if isinstance(decision, Refuse):
+        if isinstance(decision, AdmissionRefused):
             if run.serial is None:
                 return decision.refusal
             return self._ledger.burn(run.serial, run.envelope, decision.refusal)
@@ -266,7 +266,7 @@
             run = self.runs.get(decision.request_id)
             if run is None:
                 continue
-            if isinstance(decision, Refuse):
+            if isinstance(decision, AdmissionRefused):
                 run.refusal = decision.refusal
             run.decided.set()
 
@@ -313,9 +313,9 @@
     return f"{message.request_id}/{message.attempt}"
 
 
-def _work_of(envelope: Envelope, priority: int) -> Work:
+def _work_of(envelope: Envelope, priority: int) -> SidecarRequest:
     now_s = time.monotonic()
-    return Work(
+    return SidecarRequest(
         request_id=envelope.request_id,
         account=envelope.account,
         arrived_s=now_s,
--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -16,10 +16,10 @@
 from beryljunction.systems.requests.admission import (
     Admission,
     AdmissionLimits,
+    AdmissionQueued,
+    AdmissionRefused,
+    AdmissionStarted,
     AdmissionSystem,
-    Refuse,
-    Start,
-    Wait,
 )
 from beryljunction.systems.requests.attempts import AttemptSystem, GiveUp, Step, Try
 from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadSystem, SpeedMeter
@@ -111,12 +111,12 @@
     "PlacementQuery",
     "PlacementSystem",
     "PointerSystem",
-    "Refuse",
+    "AdmissionRefused",
     "Replay",
     "RetryBudget",
     "Run",
     "SpeedMeter",
-    "Start",
+    "AdmissionStarted",
     "Step",
     "TicketLedger",
     "TicketMint",
@@ -128,7 +128,7 @@
     "Unverified",
     "Upload",
     "UploadSystem",
-    "Wait",
+    "AdmissionQueued",
     "Window",
     "WrongIncarnation",
     "body_digest",
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -17,9 +17,16 @@
 from beryljunction.systems.requests.queueing import FairQueue
 from beryljunction.systems.requests.rates import DrainMeter
 from beryljunction.systems.state.pointers import PointerSystem
-from beryljunction.tables import AccountQueue, RequestTable, Work
+from beryljunction.tables import AccountQueue, RequestTable, SidecarRequest
 
-__all__ = ["Admission", "AdmissionLimits", "AdmissionSystem", "Refuse", "Start", "Wait"]
+__all__ = [
+    "Admission",
+    "AdmissionLimits",
+    "AdmissionSystem",
+    "AdmissionRefused",
+    "AdmissionStarted",
+    "AdmissionQueued",
+]
 
 _PAUSED_RETRY_S = 1.0
 _SPILL_RETRY_S = 0.2
@@ -74,28 +81,28 @@
 
 
 @attrs.frozen
-class Start:
+class AdmissionStarted:
     """The request is sent to the engine now."""
 
     request_id: str
 
 
 @attrs.frozen
-class Wait:
+class AdmissionQueued:
     """The request is queued here; a later tick starts or refuses it."""
 
     request_id: str
 
 
 @attrs.frozen
-class Refuse:
+class AdmissionRefused:
     """The request will not run here."""
 
     request_id: str
     refusal: Refusal
 
 
-Admission = Start | Wait | Refuse
+Admission = AdmissionStarted | AdmissionQueued | AdmissionRefused
 
 
 class AdmissionSystem:
@@ -103,7 +110,7 @@
 
     Attributes:
         weights: Weight of each client account; accounts that are not listed have weight one.
-        account_waiting: Most waiting requests per account, where it differs from the limit.
+        max_waiting_by_account: Most waiting requests per account, where it differs from the limit.
         leaving: Whether the endpoint gets no new requests because it leaves.
         paused: Why new requests are refused for a while, such as a model load; empty when they are
             accepted. Unlike a leaving endpoint, a paused one may be asked again soon.
@@ -121,7 +128,7 @@
         self.load = load if load is not None else LoadSystem()
         self.pointers = pointers if pointers is not None else PointerSystem()
         self.weights: dict[str, float] = {}
-        self.account_waiting: dict[str, int] = {}
+        self.max_waiting_by_account: dict[str, int] = {}
         self.leaving = False
         self.paused = ""
         self._rng = rng if rng is not None else random.Random()
@@ -146,82 +153,86 @@
             peer_stale_s=limits.peer_stale_s,
         )
 
-    def offer(self, work: Work, now_s: float) -> Admission:
+    def offer(self, request: SidecarRequest, now_s: float) -> Admission:
         """Decide on a request that has just arrived."""
         if self.leaving:
-            return self._refuse(work, RefusalCode.LEAVING, "the endpoint is leaving", None)
+            return self._refuse(request, RefusalCode.LEAVING, "the endpoint is leaving", None)
         if self.paused:
             # Sent without the load: a paused endpoint would look like the least loaded one.
             refusal = Refusal(RefusalCode.OVERLOADED, self.paused, Ran.NO, _PAUSED_RETRY_S)
-            return Refuse(work.request_id, refusal)
-        moved = self._moved(work, now_s)
+            return AdmissionRefused(request.request_id, refusal)
+        moved = self._moved(request, now_s)
         if moved is not None:
             return moved
         self._note_load(now_s)
         bound = self.load.bound(now_s)
-        is_final = work.last_resort or bound.full
-        wait_s = self._wait_s(work, is_final)
-        if self._queue_is_too_long(work, wait_s, now_s):
-            return self._refuse_full(work, now_s) if is_final else self._refuse_overloaded(work)
-        if wait_s <= 0.0 and self._has_no_room(work, bound):
-            return self._refuse_overloaded(work)
-        work.give_up_s = min(self._last_start_s(work), now_s + max(wait_s, _MIN_WAIT_S))
-        self.requests.add(work)
-        self.queue.add(work, self._weight(work.account))
-        heapq.heappush(self._expiry, (work.give_up_s, work.request_id))
-        return Wait(work.request_id)
-
-    def tick(self, now_s: float) -> list[Start | Refuse]:
+        is_final = request.last_resort or bound.fleet_full
+        wait_s = self._wait_s(request, is_final)
+        if self._queue_is_too_long(request, wait_s, now_s):
+            return (
+                self._refuse_full(request, now_s) if is_final else self._refuse_overloaded(request)
+            )
+        if wait_s <= 0.0 and self._has_no_room(request, bound):
+            return self._refuse_overloaded(request)
+        request.wait_until_s = min(self._last_start_s(request), now_s + max(wait_s, _MIN_WAIT_S))
+        self.requests.add(request)
+        self.queue.add(request, self._weight(request.account))
+        heapq.heappush(self._expiry, (request.wait_until_s, request.request_id))
+        return AdmissionQueued(request.request_id)
+
+    def tick(self, now_s: float) -> list[AdmissionStarted | AdmissionRefused]:
         """Refuse requests that waited too long, then start others, fairly over accounts."""
-        decisions: list[Start | Refuse] = list(self._expire(now_s))
+        decisions: list[AdmissionStarted | AdmissionRefused] = list(self._expire(now_s))
         self._note_load(now_s)
         bound = self.load.bound(now_s)
         while self.requests.waiting_count and not self._is_over_bound(bound):
-            work = self.queue.take(held_back=self._only_reserve_left(bound))
-            if work is None:
+            request = self.queue.take(below_share_only=self._only_reserve_left(bound))
+            if request is None:
                 break
-            self._start(work, now_s)
-            decisions.append(Start(work.request_id))
+            self._start(request, now_s)
+            decisions.append(AdmissionStarted(request.request_id))
         return decisions
 
-    def finish(self, request_id: str) -> Work | None:
+    def finish(self, request_id: str) -> SidecarRequest | None:
         """Remove a request that ended or was cancelled, whether it was waiting or running."""
-        work = self.requests.remove(request_id)
-        if work is None:
+        request = self.requests.remove(request_id)
+        if request is None:
             return None
-        if work.started_s is None:
-            self.queue.drop(work)
+        if request.started_s is None:
+            self.queue.drop(request)
         else:
-            self.queue.ended(work)
-        return work
+            self.queue.ended(request)
+        return request
 
-    def _moved(self, work: Work, now_s: float) -> Refuse | None:
+    def _moved(self, request: SidecarRequest, now_s: float) -> AdmissionRefused | None:
         """Refer the chat to the endpoint that has its prefix; if that is this one, mark it warm."""
-        row = self.pointers.look_up(work.chat_key, now_s)
+        row = self.pointers.look_up(request.chat_key, now_s)
         if row is not None and row.endpoint_id == self.pointers.endpoint_id:
-            work.cached_tokens = min(row.tokens, work.prompt_tokens)
-            work.warm = True
+            request.cached_tokens = min(row.tokens, request.prompt_tokens)
+            request.warm = True
             return None
-        if row is None or work.ignore_pointer:
+        if row is None or request.ignore_pointer:
             message = "the chat is not cached here"
-            only = work.only_if_warm
-            return self._refuse(work, RefusalCode.NOT_WARM, message, None) if only else None
+            only = request.only_if_warm
+            return self._refuse(request, RefusalCode.NOT_WARM, message, None) if only else None
         refusal = Refusal(
             RefusalCode.CHAT_MOVED, "the chat is cached elsewhere", Ran.NO, pointer=row.endpoint_id
         )
-        return Refuse(work.request_id, refusal)
+        return AdmissionRefused(request.request_id, refusal)
 
-    def _queue_is_too_long(self, work: Work, wait_s: float, now_s: float) -> bool:
+    def _queue_is_too_long(self, request: SidecarRequest, wait_s: float, now_s: float) -> bool:
         """Return whether the queue is full or too long for the time that the request may wait.
 
         The queue limits bound memory. The estimated wait refuses requests early under saturation:
         one that waits its full time and is refused then wastes its caller's time and delays others.
         """
-        row = self.queue.accounts.get(work.account)
+        row = self.queue.accounts.get(request.account)
         waiting = row.waiting_count if row is not None else 0
         if self.requests.waiting_count >= self.limits.max_waiting:
             return True
-        if waiting >= self.account_waiting.get(work.account, self.limits.max_waiting_per_account):
+        if waiting >= self.max_waiting_by_account.get(
+            request.account, self.limits.max_waiting_per_account
+        ):
             return True
         return self._expected_wait_s(row, now_s) > _MAX_QUEUE_RATIO * wait_s
 
@@ -231,7 +242,7 @@
             return 0.0
         return self._drain.wait_s(row.waiting_tokens, self.queue.share(row.weight), now_s)
 
-    def _wait_s(self, work: Work, is_final: bool) -> float:
+    def _wait_s(self, request: SidecarRequest, is_final: bool) -> float:
         """Return how long the request may wait here before another endpoint is better.
 
         Waiting for a cached prefix pays off only as long as the prefill that it saves. If no other
@@ -239,19 +250,21 @@
         deadline.
         """
         if is_final:
-            return self._last_start_s(work) - work.arrived_s
-        return work.cached_tokens / self.limits.prefill_tokens_per_s
+            return self._last_start_s(request) - request.arrived_s
+        return request.cached_tokens / self.limits.prefill_tokens_per_s
 
-    def _last_start_s(self, work: Work) -> float:
+    def _last_start_s(self, request: SidecarRequest) -> float:
         """Return the latest start that still gives a first token by the deadline.
 
         Under saturation, a request that starts too late takes a batch slot from one that would be
         in time. Besides the request's own prefill, a tenth of the wait is kept free for other
         prefills in progress.
         """
-        cold_s = (work.prompt_tokens - work.cached_tokens) / self.limits.prefill_tokens_per_s
+        cold_s = (request.prompt_tokens - request.cached_tokens) / self.limits.prefill_tokens_per_s
         return (
-            work.deadline_s - cold_s - _DEADLINE_MARGIN_RATIO * (work.deadline_s - work.arrived_s)
+            request.deadline_s
+            - cold_s
+            - _DEADLINE_MARGIN_RATIO * (request.deadline_s - request.arrived_s)
         )
 
     def _is_over_bound(self, bound: LoadBound) -> bool:
@@ -261,14 +274,14 @@
         floor = min(self.limits.floor_running, bound.running)
         return requests.running_count >= floor and requests.running_tokens >= bound.work_tokens
 
-    def _has_no_room(self, work: Work, bound: LoadBound) -> bool:
+    def _has_no_room(self, request: SidecarRequest, bound: LoadBound) -> bool:
         """Return whether the request can't start in the next tick."""
-        if self._is_over_bound(bound) or self._better_elsewhere(work, bound):
+        if self._is_over_bound(bound) or self._better_elsewhere(request, bound):
             return True
-        row = self.queue.accounts.get(work.account)
+        row = self.queue.accounts.get(request.account)
         return row is not None and self._only_reserve_left(bound) and self.queue.over_share(row)
 
-    def _better_elsewhere(self, work: Work, bound: LoadBound) -> bool:
+    def _better_elsewhere(self, request: SidecarRequest, bound: LoadBound) -> bool:
         """Return whether a request without a cached prefix should go to another endpoint.
 
         Chats return at different rates, so equal shares of chats are unequal shares of load, and an
@@ -278,7 +291,7 @@
         balanced only after it became uneven. At a lower threshold, nearly every new chat would try
         four endpoints.
         """
-        return work.cached_tokens == 0 and self.requests.running_count >= bound.cold_running
+        return request.cached_tokens == 0 and self.requests.running_count >= bound.cold_running
 
     def _only_reserve_left(self, bound: LoadBound) -> bool:
         """Return whether the free slots are reserved for accounts below their fair share.
@@ -292,29 +305,31 @@
         only_one = len(self.queue.accounts) < 2
         return not only_one and self.requests.running_count >= bound.running - reserve
 
-    def _start(self, work: Work, now_s: float) -> None:
-        self.requests.start(work, now_s)
-        self._drain.note(work.cost_tokens, now_s)
-        tokens = work.prompt_tokens + work.output_tokens
-        self.pointers.placed(work.chat_key, self.pointers.endpoint_id, tokens, now_s)
+    def _start(self, request: SidecarRequest, now_s: float) -> None:
+        self.requests.start(request, now_s)
+        self._drain.note(request.cost_tokens, now_s)
+        tokens = request.prompt_tokens + request.output_tokens
+        self.pointers.placed(request.chat_key, self.pointers.endpoint_id, tokens, now_s)
 
-    def _expire(self, now_s: float) -> list[Refuse]:
+    def _expire(self, now_s: float) -> list[AdmissionRefused]:
         """Refuse requests whose wait is over; a heap avoids a scan of the queue in each tick."""
         refused = []
         while self._expiry and self._expiry[0][0] <= now_s:
             _, request_id = heapq.heappop(self._expiry)
-            work = self.requests.get(request_id)
+            request = self.requests.get(request_id)
             # A request that was cancelled and offered again also has an older row in the heap.
-            if work is None or work.started_s is not None or work.give_up_s > now_s:
+            if request is None or request.started_s is not None or request.wait_until_s > now_s:
                 continue
             self.finish(request_id)
-            if self._last_start_s(work) <= now_s:
+            if self._last_start_s(request) <= now_s:
                 refused.append(
-                    self._refuse(work, RefusalCode.DEADLINE, "waited until its deadline", None)
+                    self._refuse(request, RefusalCode.DEADLINE, "waited until its deadline", None)
                 )
             else:
                 message = "waited as long as its cached prefix is worth"
-                refused.append(self._refuse(work, RefusalCode.OVERLOADED, message, _SPILL_RETRY_S))
+                refused.append(
+                    self._refuse(request, RefusalCode.OVERLOADED, message, _SPILL_RETRY_S)
+                )
         return refused
 
     def _note_load(self, now_s: float) -> None:
@@ -326,21 +341,25 @@
     def _weight(self, account: str) -> float:
         return self.weights.get(account, 1.0)
 
-    def _refuse_overloaded(self, work: Work) -> Refuse:
+    def _refuse_overloaded(self, request: SidecarRequest) -> AdmissionRefused:
         message = "above the load bound; another endpoint may have room"
-        return self._refuse(work, RefusalCode.OVERLOADED, message, _SPILL_RETRY_S)
+        return self._refuse(request, RefusalCode.OVERLOADED, message, _SPILL_RETRY_S)
 
-    def _refuse_full(self, work: Work, now_s: float) -> Refuse:
+    def _refuse_full(self, request: SidecarRequest, now_s: float) -> AdmissionRefused:
         """Refuse with the queue's drain time as retry delay, with random jitter.
 
         Without jitter, callers refused under saturation would all retry at the same moment and
         cause the next peak.
         """
-        drain_s = self._expected_wait_s(self.queue.accounts.get(work.account), now_s)
+        drain_s = self._expected_wait_s(self.queue.accounts.get(request.account), now_s)
         retry_s = min(_MAX_RETRY_S, max(1.0, drain_s)) * self._rng.uniform(0.5, 1.5)
         message = "the account's queue is full or too long for the deadline"
-        return self._refuse(work, RefusalCode.QUEUE_FULL, message, max(_MIN_RETRY_S, retry_s))
+        return self._refuse(request, RefusalCode.QUEUE_FULL, message, max(_MIN_RETRY_S, retry_s))
 
-    def _refuse(self, work: Work, code: RefusalCode, message: str, retry_s: float | None) -> Refuse:
+    def _refuse(
+        self, request: SidecarRequest, code: RefusalCode, message: str, retry_s: float | None
+    ) -> AdmissionRefused:
         load = self.load.own_row() if code is RefusalCode.OVERLOADED else None
-        return Refuse(work.request_id, Refusal(code, message, Ran.NO, retry_s, load=load))
+        return AdmissionRefused(
+            request.request_id, Refusal(code, message, Ran.NO, retry_s, load=load)
+        )
--- a/src/beryljunction/systems/requests/load.py
+++ b/src/beryljunction/systems/requests/load.py
@@ -66,13 +66,13 @@
         running: Most running requests.
         cold_running: Running requests from which one without a cached prefix goes elsewhere.
         work_tokens: Most estimated tokens of the running requests.
-        full: Whether the whole fleet is at its limits, so that no other endpoint has room either.
+        fleet_full: Whether the whole fleet is at its limits, so that no other endpoint has room either.
     """
 
     running: int
     cold_running: int
     work_tokens: float
-    full: bool
+    fleet_full: bool
 
 
 class SpeedMeter:
@@ -242,7 +242,7 @@
             running=min(limits.max_running, max(1, int(running))),
             cold_running=min(limits.max_running, max(1, int(cold_running))),
             work_tokens=limits.work_multiple * mean_work * fraction,
-            full=mean >= limits.max_running / limits.load_multiple,
+            fleet_full=mean >= limits.max_running / limits.load_multiple,
         )
 
     def _fresh_sums(self, now_s: float) -> _PeerSums:
--- a/src/beryljunction/tables/__init__.py
+++ b/src/beryljunction/tables/__init__.py
@@ -5,7 +5,7 @@
 from beryljunction.tables.endpoints import Endpoint, EndpointState, EndpointTable
 from beryljunction.tables.peers import PeerLoad, PeerTable
 from beryljunction.tables.prefixes import Prefix, PrefixTable
-from beryljunction.tables.requests import RequestTable, Work, WorkState
+from beryljunction.tables.requests import RequestTable, SidecarRequest, SidecarRequestState
 from beryljunction.tables.tickets import (
     Answer,
     Stamp,
@@ -34,6 +34,6 @@
     "TicketRow",
     "TicketState",
     "TicketTable",
-    "Work",
-    "WorkState",
+    "SidecarRequest",
+    "SidecarRequestState",
 ]
--- a/src/beryljunction/tables/requests.py
+++ b/src/beryljunction/tables/requests.py
@@ -5,16 +5,16 @@
 
 import attrs
 
-__all__ = ["PREFILL_SHARE", "RequestTable", "Work", "WorkState"]
+__all__ = ["PREFILL_COST_RATIO", "RequestTable", "SidecarRequest", "SidecarRequestState"]
 
 
 # Cost of an uncached prompt token in output tokens. An engine prefills about 20,000 tokens a second
 # and generates 3,000 to 4,000. If both counted alike, an endpoint that has just restarted and
 # prefills every chat would look overloaded while its batch is half empty.
-PREFILL_SHARE = 0.15
+PREFILL_COST_RATIO = 0.15
 
 
-class WorkState(enum.StrEnum):
+class SidecarRequestState(enum.StrEnum):
     """State of a request at the sidecar."""
 
     WAITING = "waiting"
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class Work:
+class SidecarRequest:
     """One request at a sidecar.
 
     Attributes:
@@ -36,7 +36,7 @@
         last_resort: Whether every other candidate has already refused.
         only_if_warm: Whether to refuse the request unless its prefix is cached here.
         ignore_pointer: Whether a pointer to another endpoint was already tried without success.
-        give_up_s: Monotonic time until which the request may wait here; set on admission.
+        wait_until_s: Monotonic time until which the request may wait here; set on admission.
     """
 
     request_id: str
@@ -53,29 +53,29 @@
     last_resort: bool = False
     only_if_warm: bool = False
     ignore_pointer: bool = False
-    give_up_s: float = 0.0
-    state: WorkState = WorkState.WAITING
+    wait_until_s: float = 0.0
+    state: SidecarRequestState = SidecarRequestState.WAITING
     started_s: float | None = None
 
     @property
     def cost_tokens(self) -> int:
         """Cost of the request in output tokens; at least one, so that every request counts."""
         cold_tokens = self.prompt_tokens - self.cached_tokens
-        return max(1, int(PREFILL_SHARE * cold_tokens) + self.output_tokens)
+        return max(1, int(PREFILL_COST_RATIO * cold_tokens) + self.output_tokens)
 
 
 class RequestTable:
     """Admitted requests by id, with the running sums that the load bound needs."""
 
     def __init__(self) -> None:
-        self._rows: dict[str, Work] = {}
+        self._rows: dict[str, SidecarRequest] = {}
         self.running_count = 0
         self.running_tokens = 0
 
     def __len__(self) -> int:
         return len(self._rows)
 
-    def __iter__(self) -> Iterator[Work]:
+    def __iter__(self) -> Iterator[SidecarRequest]:
         return iter(tuple(self._rows.values()))
 
     @property
@@ -83,25 +83,25 @@
         """Number of admitted requests that have not started."""
         return len(self._rows) - self.running_count
 
-    def get(self, request_id: str) -> Work | None:
+    def get(self, request_id: str) -> SidecarRequest | None:
         """Return the row, or None if the request is unknown."""
         return self._rows.get(request_id)
 
-    def add(self, work: Work) -> None:
+    def add(self, request: SidecarRequest) -> None:
         """Insert a waiting request."""
-        self._rows[work.request_id] = work
+        self._rows[request.request_id] = request
 
-    def start(self, work: Work, now_s: float) -> None:
+    def start(self, request: SidecarRequest, now_s: float) -> None:
         """Mark a waiting request as running."""
-        work.state = WorkState.RUNNING
-        work.started_s = now_s
+        request.state = SidecarRequestState.RUNNING
+        request.started_s = now_s
         self.running_count += 1
-        self.running_tokens += work.cost_tokens
+        self.running_tokens += request.cost_tokens
 
-    def remove(self, request_id: str) -> Work | None:
+    def remove(self, request_id: str) -> SidecarRequest | None:
         """Remove a request and return its row."""
-        work = self._rows.pop(request_id, None)
-        if work is not None and work.state is WorkState.RUNNING:
+        request = self._rows.pop(request_id, None)
+        if request is not None and request.state is SidecarRequestState.RUNNING:
             self.running_count -= 1
-            self.running_tokens -= work.cost_tokens
-        return work
+            self.running_tokens -= request.cost_tokens
+        return request
--- a/testing/test_account_settings.py
+++ b/testing/test_account_settings.py
@@ -4,8 +4,13 @@
 import pytest
 
 from beryljunction.settings import ServiceSettings
-from beryljunction.systems import AdmissionLimits, AdmissionSystem, Refuse, Wait
-from beryljunction.tables import Work
+from beryljunction.systems import (
+    AdmissionLimits,
+    AdmissionQueued,
+    AdmissionRefused,
+    AdmissionSystem,
+)
+from beryljunction.tables import SidecarRequest
 from path_fakes import AUTH, OTHER_KEY, ScriptedEngine, chat, error_of, path_of, view_with
 
 pytestmark = pytest.mark.anyio
@@ -77,12 +82,17 @@
     def test_queue_of_an_account_is_limited_by_its_own_limit(self):
         limits = AdmissionLimits(max_running=1, max_waiting_per_account=64)
         system = AdmissionSystem(limits)
-        system.account_waiting = {"jury": 1}
+        system.max_waiting_by_account = {"jury": 1}
 
         decisions = [
-            system.offer(Work(f"{account}-{i}", account, 0.0, 9.0, last_resort=True), 0.0)
+            system.offer(SidecarRequest(f"{account}-{i}", account, 0.0, 9.0, last_resort=True), 0.0)
             for account in ("jury", "other")
             for i in range(2)
         ]
 
-        assert [type(decision) for decision in decisions] == [Wait, Refuse, Wait, Wait]
+        assert [type(decision) for decision in decisions] == [
+            AdmissionQueued,
+            AdmissionRefused,
+            AdmissionQueued,
+            AdmissionQueued,
+        ]
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -7,14 +7,14 @@
 from beryljunction.outcomes import Ran, RefusalCode
 from beryljunction.systems import (
     AdmissionLimits,
+    AdmissionQueued,
+    AdmissionRefused,
+    AdmissionStarted,
     AdmissionSystem,
     LoadSystem,
     PointerSystem,
-    Refuse,
-    Start,
-    Wait,
 )
-from beryljunction.tables import Work
+from beryljunction.tables import SidecarRequest
 
 
 def admission(peer_running: int | None = None, **limits) -> AdmissionSystem:
@@ -27,13 +27,13 @@
     return system
 
 
-def work(number: int, account: str = "a", now_s: float = 0.0, **fields) -> Work:
+def work(number: int, account: str = "a", now_s: float = 0.0, **fields) -> SidecarRequest:
     values = {"deadline_s": now_s + 5.0, "output_tokens": 100, **fields}
-    return Work(f"r{number}", account, now_s, **values)
+    return SidecarRequest(f"r{number}", account, now_s, **values)
 
 
 def started(system: AdmissionSystem, now_s: float) -> list[str]:
-    return [d.request_id for d in system.tick(now_s) if isinstance(d, Start)]
+    return [d.request_id for d in system.tick(now_s) if isinstance(d, AdmissionStarted)]
 
 
 class TestOffer:
@@ -42,7 +42,7 @@
         # would be refused although there is room, and would needlessly try the next endpoint.
         system = admission()
 
-        assert isinstance(system.offer(work(1), 0.0), Wait)
+        assert isinstance(system.offer(work(1), 0.0), AdmissionQueued)
         assert started(system, 0.05) == ["r1"]
 
     def test_cold_request_above_the_bound_is_refused_at_once(self):
@@ -53,7 +53,7 @@
 
         decision = system.offer(work(9), 0.0)
 
-        assert isinstance(decision, Refuse)
+        assert isinstance(decision, AdmissionRefused)
         assert decision.refusal.code is RefusalCode.OVERLOADED
         assert decision.refusal.ran is Ran.NO
         assert decision.refusal.load.running == 4
@@ -67,8 +67,10 @@
             system.offer(work(i, last_resort=True), 0.0)
         system.tick(0.0)
 
-        assert isinstance(system.offer(work(8), 0.0), Refuse)
-        assert isinstance(system.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0), Wait)
+        assert isinstance(system.offer(work(8), 0.0), AdmissionRefused)
+        assert isinstance(
+            system.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0), AdmissionQueued
+        )
         assert "r9" in started(system, 0.0)
 
     def test_warm_request_waits_no_longer_than_the_prefill_that_it_saves(self):
@@ -80,7 +82,7 @@
 
         decision = system.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0)
 
-        assert isinstance(decision, Wait)
+        assert isinstance(decision, AdmissionQueued)
         assert [d for d in system.tick(0.49) if d.request_id == "r9"] == []
         [refused] = [d for d in system.tick(0.51) if d.request_id == "r9"]
         assert refused.refusal.code is RefusalCode.OVERLOADED
@@ -93,7 +95,9 @@
 
         assert decision.refusal.code is RefusalCode.CHAT_MOVED
         assert decision.refusal.pointer == "e2"
-        assert isinstance(system.offer(work(2, chat_key=7, ignore_pointer=True), 0.0), Wait)
+        assert isinstance(
+            system.offer(work(2, chat_key=7, ignore_pointer=True), 0.0), AdmissionQueued
+        )
 
     def test_only_if_warm_is_refused_where_the_chat_is_not_cached(self):
         decision = admission().offer(work(1, chat_key=7, only_if_warm=True), 0.0)
@@ -130,10 +134,10 @@
 
 
 class TestSaturation:
-    def fill(self, system: AdmissionSystem, count: int, now_s: float) -> list[Refuse]:
+    def fill(self, system: AdmissionSystem, count: int, now_s: float) -> list[AdmissionRefused]:
         offers = [work(i, now_s=now_s, last_resort=True) for i in range(count)]
         decisions = [system.offer(offer, now_s) for offer in offers]
-        return [decision for decision in decisions if isinstance(decision, Refuse)]
+        return [decision for decision in decisions if isinstance(decision, AdmissionRefused)]
 
     def test_queue_of_an_account_is_bounded_and_the_refusal_has_a_retry_delay(self):
         system = admission(max_waiting_per_account=10)
