--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -229,7 +229,7 @@
             return
         rows, peer = load.rows_to_send(world.now_s), world.rng.choice(peers)
         if not peer.is_up:
-            load.silence(peer.name)
+            load.ignore_until_newer_row(peer.name)
             return
         size_bytes = _HTTP_BYTES + len(encode_rows(rows))
         self.control_bytes += size_bytes
@@ -241,7 +241,7 @@
         listed = self.world.listed(self.world.now_s - _LIST_LAG_S)
         names = [row.endpoint_id for row in listed if row.service == self.service]
         for gone in self._listed.difference(names):
-            self.admission.load.silence(gone)
+            self.admission.load.ignore_until_newer_row(gone)
         self._listed = set(names)
         return [self.world.sidecars[name] for name in names if name != self.name]
 
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -63,7 +63,7 @@
         endpoints, until the row expires.
         """
         for removed in self._addresses.keys() - addresses.keys():
-            self._load.silence(removed)
+            self._load.ignore_until_newer_row(removed)
         self._addresses = dict(addresses)
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
@@ -94,7 +94,7 @@
                 },
             )
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
-            self._load.silence(endpoint_id)
+            self._load.ignore_until_newer_row(endpoint_id)
             return
         self._check_peer_version(endpoint_id, dict(response.headers))
 
--- a/src/beryljunction/systems/requests/load.py
+++ b/src/beryljunction/systems/requests/load.py
@@ -202,7 +202,7 @@
         a service, always sending the freshest rows would let the others go stale.
         """
         self._exchanges += 1
-        live = [peer.row for peer in self.peers.heard_after(now_s - self.limits.peer_stale_s)]
+        live = [peer.row for peer in self.peers.received_after(now_s - self.limits.peer_stale_s)]
         rest = _MAX_ROWS - 1
         return [self.own_row(), *(live if len(live) <= rest else self._rng.sample(live, rest))]
 
@@ -212,7 +212,7 @@
         newer = [self.peers.merge(row, now_s) for row in others]
         if any(newer):
             self._sums_computed_s = -math.inf
-            self._oldest_peer_s = min(peer.since_s for peer in self.peers)
+            self._oldest_peer_s = min(peer.first_received_s for peer in self.peers)
 
     def bound(self, now_s: float) -> LoadBound:
         """Return how much may run here now.
@@ -249,7 +249,7 @@
         """Return the sums over the fresh peers, cached for ``_SUMS_MAX_AGE_S``."""
         if now_s - self._sums_computed_s < _SUMS_MAX_AGE_S:
             return self._peer_sums
-        fresh = self.peers.heard_after(now_s - self.limits.peer_stale_s)
+        fresh = self.peers.received_after(now_s - self.limits.peer_stale_s)
         most = self.limits.max_running
         speeds = sorted(peer.row.speed_tokens_per_s for peer in fresh)
         speeds = speeds[bisect.bisect_right(speeds, 0.0) :]
@@ -263,8 +263,8 @@
             fraction = _speed_ratio(row.speed_tokens_per_s, usual)
             capacity += (
                 fraction
-                if peer.since_s <= settled_s
-                else fraction * self._ramp_ratio(peer.since_s, now_s)
+                if peer.first_received_s <= settled_s
+                else fraction * self._ramp_ratio(peer.first_received_s, now_s)
             )
         self._sums_computed_s = now_s
         self._peer_sums = _PeerSums(len(fresh), demand, work_tokens, usual, capacity)
@@ -283,7 +283,7 @@
         most_s = min(_RAMP_S, now_s - oldest_s)
         return max(_MIN_RAMP_RATIO, age_s / most_s) if most_s > 0.0 else 1.0
 
-    def silence(self, endpoint_id: str) -> None:
+    def ignore_until_newer_row(self, endpoint_id: str) -> None:
         """Ignore an endpoint that left or does not answer until it sends a newer row.
 
         When an availability zone is lost, its load moves to the other endpoints, which need up to
@@ -291,7 +291,7 @@
         mean and bound, and requests would be refused or wait while slots are free. A wrong guess
         costs little, because the endpoint's next row reverses it.
         """
-        self.peers.silence(endpoint_id)
+        self.peers.ignore_until_newer_row(endpoint_id)
         self._sums_computed_s = -math.inf
 
     def peer(self, endpoint_id: str) -> PeerLoad | None:
--- a/src/beryljunction/tables/peers.py
+++ b/src/beryljunction/tables/peers.py
@@ -18,17 +18,17 @@
     """A peer's newest load row.
 
     Attributes:
-        heard_s: Local monotonic time at which the row was received.
-        since_s: Local monotonic time at which the first row of this incarnation was received.
-        silent: Whether the peer left or did not answer since.
-        before: Incarnation that this one replaced; empty if none was known.
+        received_s: Local monotonic time at which the row was received.
+        first_received_s: Local monotonic time at which the first row of this incarnation was received.
+        is_ignored: Whether the peer left or did not answer since.
+        previous_incarnation: Incarnation that this one replaced; empty if none was known.
     """
 
     row: LoadRow
-    heard_s: float
-    since_s: float
-    silent: bool = False
-    before: str = ""
+    received_s: float
+    first_received_s: float
+    is_ignored: bool = False
+    previous_incarnation: str = ""
 
 
 class PeerTable:
@@ -41,16 +41,16 @@
         return sum(1 for _ in self)
 
     def __iter__(self) -> Iterator[PeerLoad]:
-        return iter([peer for peer in self._rows.values() if not peer.silent])
+        return iter([peer for peer in self._rows.values() if not peer.is_ignored])
 
     def get(self, endpoint_id: str) -> PeerLoad | None:
         """Return the newest row of an endpoint, or None if it is unknown or silent."""
         peer = self._rows.get(endpoint_id)
-        return None if peer is None or peer.silent else peer
+        return None if peer is None or peer.is_ignored else peer
 
-    def heard_after(self, since_s: float) -> list[PeerLoad]:
+    def received_after(self, since_s: float) -> list[PeerLoad]:
         """Return the peers whose newest row was received after a time."""
-        return [peer for peer in self if peer.heard_s > since_s]
+        return [peer for peer in self if peer.received_s > since_s]
 
     def merge(self, row: LoadRow, now_s: float) -> bool:
         """Store the row if it is newer than the known one; return whether it was.
@@ -65,17 +65,21 @@
             self._rows[row.endpoint_id] = PeerLoad(row, now_s, now_s)
             return True
         incarnation = known.row.incarnation
-        if row.incarnation == known.before:
+        if row.incarnation == known.previous_incarnation:
             return False
         if row.incarnation != incarnation:
-            self._rows[row.endpoint_id] = PeerLoad(row, now_s, now_s, before=incarnation)
+            self._rows[row.endpoint_id] = PeerLoad(
+                row, now_s, now_s, previous_incarnation=incarnation
+            )
             return True
         if known.row.sequence >= row.sequence:
             return False
-        self._rows[row.endpoint_id] = attrs.evolve(known, row=row, heard_s=now_s, silent=False)
+        self._rows[row.endpoint_id] = attrs.evolve(
+            known, row=row, received_s=now_s, is_ignored=False
+        )
         return True
 
-    def silence(self, endpoint_id: str) -> None:
+    def ignore_until_newer_row(self, endpoint_id: str) -> None:
         """Ignore an endpoint until a newer row arrives; unknown ids are ignored.
 
         The row itself is kept. If it were removed, a copy from a peer that has not noticed yet
@@ -83,10 +87,10 @@
         """
         known = self._rows.get(endpoint_id)
         if known is not None:
-            self._rows[endpoint_id] = attrs.evolve(known, silent=True)
+            self._rows[endpoint_id] = attrs.evolve(known, is_ignored=True)
 
     def _prune(self, now_s: float) -> None:
         """Remove old rows, so that replaced endpoints do not accumulate."""
         for endpoint_id, peer in tuple(self._rows.items()):
-            if now_s - peer.heard_s > _RETENTION_S:
+            if now_s - peer.received_s > _RETENTION_S:
                 del self._rows[endpoint_id]
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -127,14 +127,14 @@
         load = load_system(*(row(i, 40) for i in range(1, 3)), row(3, 80), running=80)
         before = load.bound(1.0).running
 
-        load.silence("drafter-1")
-        load.silence("drafter-2")
+        load.ignore_until_newer_row("drafter-1")
+        load.ignore_until_newer_row("drafter-2")
 
         assert load.bound(1.0).running > 1.25 * before
 
     def test_lasts_despite_old_copies_until_a_newer_row(self):
         load = load_system(row(1, 40, sequence=5))
-        load.silence("drafter-1")
+        load.ignore_until_newer_row("drafter-1")
 
         load.merge([row(1, 40, sequence=5)], 1.0)
         passed_on = load.peer("drafter-1")
@@ -152,4 +152,4 @@
         load.merge([row(1, 40, sequence=901)], 6.0)
 
         assert load.peer("drafter-1").row.incarnation == "b"
-        assert load.peer("drafter-1").since_s == 5.0
+        assert load.peer("drafter-1").first_received_s == 5.0
