--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -141,7 +141,9 @@
         """Take an entry's word on who took a chat."""
         self.control_bytes += _HTTP_BYTES + len(encode(message))
         pointers = self.admission.pointers
-        pointers.placed(message.chat_key, message.endpoint_id, message.tokens, self.world.now_s)
+        pointers.record_location(
+            message.chat_key, message.endpoint_id, message.tokens, self.world.now_s
+        )
 
     def crash(self) -> None:
         """Lose everything; connections break."""
@@ -210,7 +212,7 @@
         if evicted and self.world.rng.random() > _EVENT_LOSS:
             keys = [chat_key_of("", chat) for chat in evicted]
             pointers = self.admission.pointers
-            self.later(_EVENT_LAG_S, pointers.evicted, self._evictions, keys)
+            self.later(_EVENT_LAG_S, pointers.apply_eviction, self._evictions, keys)
 
     def _timer(self) -> None:
         self.later(_TICK_S, self._timer)
@@ -299,7 +301,7 @@
             return
         tokens = asked.call.prompt_tokens + asked.call.output_tokens
         message = ChatMoved(asked.chat_key, taker.name, tokens)
-        for keeper in asked.attempts.keepers(row):
+        for keeper in asked.attempts.pointer_holders(row):
             self._world.send(self._world.sidecars[keeper.endpoint_id].moved, message)
 
     def _do(self, asked: Asked, step: Step) -> None:
--- a/src/beryljunction/bench/ticks.py
+++ b/src/beryljunction/bench/ticks.py
@@ -70,7 +70,7 @@
 def _tick_us(chats: int) -> list[float]:
     admission = AdmissionSystem(_LIMITS, LoadSystem("e0", "a"), PointerSystem("e0"))
     for chat in range(chats):
-        admission.pointers.placed(chat, "e0", 1_000, 0.0)
+        admission.pointers.record_location(chat, "e0", 1_000, 0.0)
     rng = random.Random(1)
     for i in range(_WAITING):
         admission.offer(_work(i, 0.0, rng), 0.0)
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -127,7 +127,7 @@
             return
         tokens = envelope.prompt_tokens + envelope.output_tokens
         moved = ChatMoved(envelope.chat_key, server.endpoint_id, tokens)
-        for holder in attempts.keepers(server):
+        for holder in attempts.pointer_holders(server):
             await self._sidecars.tell(holder, MOVED_PATH, moved)
 
     def _silence_s(self, envelope: Envelope) -> float:
--- a/src/beryljunction/fuzz/entries.py
+++ b/src/beryljunction/fuzz/entries.py
@@ -334,7 +334,7 @@
         taker = self.endpoints.get(row.endpoint_id)
         if chat_key is None or taker is None or not isinstance(row.attempts, AttemptSystem):
             return
-        for keeper in row.attempts.keepers(taker):
+        for keeper in row.attempts.pointer_holders(taker):
             moved = MovedCall(chat_key, taker.endpoint_id)
             self._network.send(keeper.endpoint_id, self.name, self._network.connect(), moved)
 
--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -161,7 +161,7 @@
         elif isinstance(content, KeyCall):
             self._claim_key(content, reader)
         elif isinstance(content, MovedCall):
-            self.admission.pointers.placed(
+            self.admission.pointers.record_location(
                 content.chat_key, content.endpoint_id, _CHAT_TOKENS, self.now_s
             )
         elif isinstance(content, HelloCall):
--- a/src/beryljunction/sidecar/control.py
+++ b/src/beryljunction/sidecar/control.py
@@ -120,7 +120,7 @@
         await call.writer.done()
 
     def _record_pointer(self, pointer: ChatMoved) -> None:
-        self._keeper.admission.pointers.placed(
+        self._keeper.admission.pointers.record_location(
             pointer.chat_key, pointer.endpoint_id, pointer.tokens, time.monotonic()
         )
 
--- a/src/beryljunction/sidecar/handover.py
+++ b/src/beryljunction/sidecar/handover.py
@@ -31,7 +31,7 @@
     own = members.get(pointers.endpoint_id)
     placement = PlacementSystem(members, region=own.region if own is not None else "")
     by_successor: dict[str, tuple[Endpoint, list[ChatMoved]]] = {}
-    for row in pointers.hand_over(_MAX_POINTERS):
+    for row in pointers.newest_pointers(_MAX_POINTERS):
         if row.endpoint_id == pointers.endpoint_id or members.get(row.endpoint_id) is None:
             continue
         query = PlacementQuery(service, row.chat_key)
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -194,7 +194,7 @@
         if self._is_wanted(offer):
             now_s = time.monotonic()
             pointers = self._admission.pointers
-            pointers.placed(offer.chat_key, pointers.endpoint_id, tokens, now_s)
+            pointers.record_location(offer.chat_key, pointers.endpoint_id, tokens, now_s)
             used_s = now_s - offer.idle_s
             self._prefixes.put(Prefix(offer.chat_key, offer.chat_id, tokens, used_s))
         return tokens
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -309,7 +309,7 @@
         self.requests.start(request, now_s)
         self._drain.note(request.cost_tokens, now_s)
         tokens = request.prompt_tokens + request.output_tokens
-        self.pointers.placed(request.chat_key, self.pointers.endpoint_id, tokens, now_s)
+        self.pointers.record_location(request.chat_key, self.pointers.endpoint_id, tokens, now_s)
 
     def _expire(self, now_s: float) -> list[AdmissionRefused]:
         """Refuse requests whose wait is over; a heap avoids a scan of the queue in each tick."""
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -122,7 +122,7 @@
                 return step
         return self._retry(refusal)
 
-    def keepers(self, taker: Endpoint) -> list[Endpoint]:
+    def pointer_holders(self, taker: Endpoint) -> list[Endpoint]:
         """Return the endpoints to notify that another candidate has taken the chat.
 
         Besides the home, the next endpoint in order is notified: it becomes the home if the home is
--- a/src/beryljunction/systems/state/pointers.py
+++ b/src/beryljunction/systems/state/pointers.py
@@ -39,7 +39,9 @@
         row = self.look_up(chat_key, now_s)
         return row.tokens if row is not None and row.endpoint_id == self.endpoint_id else 0
 
-    def placed(self, chat_key: int | None, endpoint_id: str, tokens: int, now_s: float) -> None:
+    def record_location(
+        self, chat_key: int | None, endpoint_id: str, tokens: int, now_s: float
+    ) -> None:
         """Store the endpoint that has taken a chat, this one or another."""
         if chat_key is not None:
             self.chats.put(ChatPointer(chat_key, endpoint_id, tokens, now_s + self.life_s))
@@ -48,7 +50,7 @@
         """Drop the pointers to an endpoint that is gone."""
         self.chats.forget_endpoint(endpoint_id)
 
-    def evicted(self, sequence: int, chat_keys: list[int]) -> None:
+    def apply_eviction(self, sequence: int, chat_keys: list[int]) -> None:
         """Apply a cache event of the engine: these chats are no longer cached here.
 
         Events may be late or missing. After a gap nothing is dropped, since a pointer to an evicted
@@ -63,6 +65,6 @@
             if row is not None and row.endpoint_id == self.endpoint_id:
                 self.chats.forget(chat_key)
 
-    def hand_over(self, limit: int) -> list[ChatPointer]:
+    def newest_pointers(self, limit: int) -> list[ChatPointer]:
         """Return copies of the most recently used pointers, to send to peers on leaving."""
         return [attrs.evolve(row) for row in self.chats.rows()[-limit:]]
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -62,7 +62,7 @@
         # The bound is 1.25 times a mean of 10, and 9 requests run. The cold request is refused, so
         # that its slot stays free for a chat whose prefix is cached here.
         system = admission(peer_running=10)
-        system.pointers.placed(7, "e0", 10_000, 0.0)
+        system.pointers.record_location(7, "e0", 10_000, 0.0)
         for i in range(9):
             system.offer(work(i, last_resort=True), 0.0)
         system.tick(0.0)
@@ -75,7 +75,7 @@
 
     def test_warm_request_waits_no_longer_than_the_prefill_that_it_saves(self):
         system = admission(peer_running=4)
-        system.pointers.placed(7, "e0", 10_000, 0.0)
+        system.pointers.record_location(7, "e0", 10_000, 0.0)
         for i in range(8):
             system.offer(work(i, last_resort=True), 0.0)
         system.tick(0.0)
@@ -89,7 +89,7 @@
 
     def test_chat_that_moved_is_refused_with_a_pointer_unless_it_is_ignored(self):
         system = admission()
-        system.pointers.placed(7, "e2", 100, 0.0)
+        system.pointers.record_location(7, "e2", 100, 0.0)
 
         decision = system.offer(work(1, chat_key=7), 0.0)
 
@@ -243,7 +243,7 @@
         # target load. The test counts Python function calls, which are the same on every machine.
         system = admission(max_running=1, max_waiting=2_000, max_waiting_per_account=2_000)
         for chat in range(waiting):
-            system.pointers.placed(chat, "e0", 10, 0.0)
+            system.pointers.record_location(chat, "e0", 10, 0.0)
             system.offer(work(chat, f"a{chat % 10}", last_resort=True), 0.0)
         system.tick(0.0)
         calls = []
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -230,12 +230,12 @@
     def test_are_stored_by_the_home_and_the_next_in_order(self):
         system = attempts()
 
-        assert [row.endpoint_id for row in system.keepers(ROWS[3])] == ["e0", "e1"]
-        assert [row.endpoint_id for row in system.keepers(ROWS[1])] == ["e0"]
-        assert system.keepers(ROWS[0]) == []
+        assert [row.endpoint_id for row in system.pointer_holders(ROWS[3])] == ["e0", "e1"]
+        assert [row.endpoint_id for row in system.pointer_holders(ROWS[1])] == ["e0"]
+        assert system.pointer_holders(ROWS[0]) == []
 
     def test_that_were_followed_are_not_sent_again(self):
         system = attempts()
         system.after(refusal(RefusalCode.CHAT_MOVED, pointer="e5"), system.first().endpoint)
 
-        assert system.keepers(ROWS[5]) == []
+        assert system.pointer_holders(ROWS[5]) == []
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -214,7 +214,7 @@
         async with path_of() as path:
             fleet = await Fleet(path).start()
             home = path.sidecars[fleet.successor_number].admission.pointers
-            home.placed(fleet.key, "drafter-0", TOKENS, time.monotonic())
+            home.record_location(fleet.key, "drafter-0", TOKENS, time.monotonic())
 
             await fleet.stop()
 
@@ -351,7 +351,9 @@
             kv_take = successor.keeper.kv.take
 
             async def take_after_spill(description):
-                successor.admission.pointers.placed(fleet.key, third, 2 * TOKENS, time.monotonic())
+                successor.admission.pointers.record_location(
+                    fleet.key, third, 2 * TOKENS, time.monotonic()
+                )
                 return await kv_take(description)
 
             successor.keeper.kv.take = take_after_spill
--- a/testing/test_pointers.py
+++ b/testing/test_pointers.py
@@ -5,7 +5,7 @@
 class TestPointers:
     def test_life_is_extended_by_lookups(self):
         pointers = PointerSystem("e0", life_s=10.0)
-        pointers.placed(7, "e1", 100, 0.0)
+        pointers.record_location(7, "e1", 100, 0.0)
 
         assert pointers.look_up(7, 8.0).endpoint_id == "e1"
         assert pointers.look_up(7, 16.0).endpoint_id == "e1"
@@ -14,7 +14,7 @@
     def test_least_recently_used_is_evicted_first(self):
         pointers = PointerSystem("e0", chats=ChatTable(capacity=2))
         for chat in (1, 2, 3):
-            pointers.placed(chat, "e0", 100, 0.0)
+            pointers.record_location(chat, "e0", 100, 0.0)
             pointers.look_up(1, 0.0)
 
         assert [pointers.cached_tokens(chat, 0.0) for chat in (1, 2, 3)] == [100, 0, 100]
@@ -23,10 +23,10 @@
 class TestCacheEvents:
     def test_eviction_drops_only_pointers_to_this_endpoint(self):
         pointers = PointerSystem("e0")
-        pointers.placed(1, "e0", 100, 0.0)
-        pointers.placed(2, "e1", 100, 0.0)
+        pointers.record_location(1, "e0", 100, 0.0)
+        pointers.record_location(2, "e1", 100, 0.0)
 
-        pointers.evicted(1, [1, 2])
+        pointers.apply_eviction(1, [1, 2])
 
         assert pointers.look_up(1, 0.0) is None
         assert pointers.look_up(2, 0.0).endpoint_id == "e1"
@@ -36,10 +36,10 @@
         # event 3 has run again since, so dropping it would needlessly move its next request.
         pointers = PointerSystem("e0")
         for chat in (1, 2):
-            pointers.placed(chat, "e0", 100, 0.0)
+            pointers.record_location(chat, "e0", 100, 0.0)
 
-        pointers.evicted(5, [1])
-        pointers.evicted(3, [2])
+        pointers.apply_eviction(5, [1])
+        pointers.apply_eviction(3, [2])
 
         assert pointers.cached_tokens(1, 0.0) == 0
         assert pointers.cached_tokens(2, 0.0) == 100
--- a/testing/test_stops.py
+++ b/testing/test_stops.py
@@ -182,8 +182,8 @@
                 app.members = path.endpoints
             now_s = anyio.current_time()
             for chat_key in range(40):
-                apps[0].admission.pointers.placed(chat_key, "drafter-1", 900, now_s)
-            apps[0].admission.pointers.placed(99, "drafter-0", 900, now_s)
+                apps[0].admission.pointers.record_location(chat_key, "drafter-1", 900, now_s)
+            apps[0].admission.pointers.record_location(99, "drafter-0", 900, now_s)
 
             await apps[0].hand_over()
 
@@ -198,6 +198,6 @@
         async with path_of() as path:
             app = await path.sidecar(ScriptedEngine())
             app.members.put(Endpoint("drafter-8", "drafter", "ahd-a", "127.0.0.1:1"))
-            app.admission.pointers.placed(7, "drafter-8", 900, anyio.current_time())
+            app.admission.pointers.record_location(7, "drafter-8", 900, anyio.current_time())
 
             await app.hand_over()
