--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -34,7 +34,7 @@
 from beryljunction.systems.requests.retries import RetryBudget
 from beryljunction.systems.requests.uploads import Upload, UploadSystem
 from beryljunction.systems.state.claims import ClaimLimits, ClaimSystem
-from beryljunction.systems.state.forward import ForwardClock, Window
+from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.systems.state.key_claims import (
     ClaimBatch,
     KeyClaim,
@@ -87,7 +87,7 @@
     "Expired",
     "Failed",
     "FairQueue",
-    "ForwardClock",
+    "IncarnationClock",
     "Full",
     "GiveUp",
     "Handed",
@@ -129,7 +129,7 @@
     "Upload",
     "UploadSystem",
     "AdmissionQueued",
-    "Window",
+    "IssueValidity",
     "WrongIncarnation",
     "body_digest",
     "chat_key_of",
--- a/src/beryljunction/systems/state/forward.py
+++ b/src/beryljunction/systems/state/forward.py
@@ -2,12 +2,12 @@
 
 import enum
 
-__all__ = ["ForwardClock", "Window"]
+__all__ = ["IncarnationClock", "IssueValidity"]
 
 _MS = 1000.0
 
 
-class Window(enum.StrEnum):
+class IssueValidity(enum.StrEnum):
     """Validity of a time issued by the clock."""
 
     OPEN = "open"
@@ -16,7 +16,7 @@
     NEVER_ISSUED = "never_issued"
 
 
-class ForwardClock:
+class IncarnationClock:
     """Milliseconds since the start of one incarnation; they never go back.
 
     Only this clock decides whether tickets and request ids have expired. Entries copy its time from
@@ -73,12 +73,12 @@
         """
         return min(self.read_ms(now_s), issued_ms + max(0, int(age_s * _MS)))
 
-    def judge(self, issued_ms: int, now_s: float) -> Window:
+    def validity_of(self, issued_ms: int, now_s: float) -> IssueValidity:
         """Return the validity of something issued at ``issued_ms`` that has no row."""
         if issued_ms > self.issue_ms(now_s):
-            return Window.NEVER_ISSUED
+            return IssueValidity.NEVER_ISSUED
         if issued_ms + self._life_ms < self.read_ms(now_s):
-            return Window.EXPIRED
+            return IssueValidity.EXPIRED
         if issued_ms <= self.closed_ms:
-            return Window.CLOSED
-        return Window.OPEN
+            return IssueValidity.CLOSED
+        return IssueValidity.OPEN
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -13,7 +13,7 @@
 
 from beryljunction.errors import InvariantError
 from beryljunction.outcomes import Ran, Refusal
-from beryljunction.systems.state.forward import ForwardClock, Window
+from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
     Ask,
@@ -70,7 +70,7 @@
     ) -> None:
         self.limits = limits if limits is not None else LedgerLimits()
         self.table = TicketTable()
-        self.clock = ForwardClock(started_s, self.limits.life_s)
+        self.clock = IncarnationClock(started_s, self.limits.life_s)
         self._mint = mint
         self._endpoint_id = endpoint_id
         self._incarnation = incarnation
@@ -187,12 +187,12 @@
     def _claim_first(self, ticket: Ticket, ask: Ask, now_s: float) -> Claim:
         if not self.has_heard(ask.heard):
             return Unstamped()
-        window = self.clock.judge(ticket.stamp.issued_ms, now_s)
-        if window is Window.NEVER_ISSUED:
+        validity = self.clock.validity_of(ticket.stamp.issued_ms, now_s)
+        if validity is IssueValidity.NEVER_ISSUED:
             return Invalid()
-        if window is Window.EXPIRED:
+        if validity is IssueValidity.EXPIRED:
             return Expired()
-        if window is Window.CLOSED:
+        if validity is IssueValidity.CLOSED:
             return Full()
         if len(self.table) >= self.limits.max_rows:
             self.clock.close(now_s)
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from beryljunction.systems.state.forward import ForwardClock, Window
+from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.tables import Stamp
 
 __all__ = ["Arrival", "Asked", "TombstoneLimits", "TombstoneSystem"]
@@ -38,7 +38,7 @@
     UNKNOWN = "unknown"
 
 
-_NOT_RUN_WINDOWS = frozenset((Window.OPEN, Window.CLOSED))
+_NOT_RUN_VALIDITIES = frozenset((IssueValidity.OPEN, IssueValidity.CLOSED))
 
 
 @attrs.frozen
@@ -74,7 +74,7 @@
         limits: TombstoneLimits | None = None,
     ) -> None:
         self.limits = limits if limits is not None else TombstoneLimits()
-        self.clock = ForwardClock(started_s, self.limits.life_s)
+        self.clock = IncarnationClock(started_s, self.limits.life_s)
         self._identity = (endpoint_id, incarnation)
         self._rows: dict[str, tuple[int, bool]] = {}
 
@@ -100,10 +100,10 @@
             return Arrival.BURIED if row[1] else Arrival.DUPLICATE
         if heard is None or not self._is_ours(heard):
             return Arrival.FRESH if self._remember(request_id, False, now_s) else Arrival.TOO_OLD
-        window = self._sent_window(heard, age_s, now_s)
-        if window is Window.OPEN and self._remember(request_id, False, now_s):
+        validity = self._sent_validity(heard, age_s, now_s)
+        if validity is IssueValidity.OPEN and self._remember(request_id, False, now_s):
             return Arrival.FRESH
-        return Arrival.CLOSED if window in _NOT_RUN_WINDOWS else Arrival.TOO_OLD
+        return Arrival.CLOSED if validity in _NOT_RUN_VALIDITIES else Arrival.TOO_OLD
 
     def names_earlier_start(self, heard: Stamp | None) -> bool:
         """Whether a request was sent to an earlier incarnation of this sidecar.
@@ -126,14 +126,14 @@
             return Asked.NOT_RUN if row[1] else Asked.SEEN
         if heard is None or not self._is_ours(heard):
             return Asked.UNKNOWN
-        window = self._sent_window(heard, age_s, now_s)
-        if window is Window.OPEN:
+        validity = self._sent_validity(heard, age_s, now_s)
+        if validity is IssueValidity.OPEN:
             self._remember(request_id, True, now_s)
-        return Asked.NOT_RUN if window in _NOT_RUN_WINDOWS else Asked.UNKNOWN
+        return Asked.NOT_RUN if validity in _NOT_RUN_VALIDITIES else Asked.UNKNOWN
 
-    def _sent_window(self, heard: Stamp, age_s: float, now_s: float) -> Window:
+    def _sent_validity(self, heard: Stamp, age_s: float, now_s: float) -> IssueValidity:
         """Return the validity of the sending time; the stamp itself may be many minutes old."""
-        return self.clock.judge(self.clock.sent_ms(heard.issued_ms, age_s, now_s), now_s)
+        return self.clock.validity_of(self.clock.sent_ms(heard.issued_ms, age_s, now_s), now_s)
 
     def _remember(self, request_id: str, buried: bool, now_s: float) -> bool:
         """Insert a row; if the table is full, close the clock, which then stands for the row.
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -11,7 +11,7 @@
     AdmissionSystem,
     Asked,
     ClaimSystem,
-    ForwardClock,
+    IncarnationClock,
     KeyWon,
     Run,
     TicketLedger,
@@ -99,7 +99,7 @@
 
 def count_the_deadline_from_arrival(patch):
     patch.setattr(
-        ForwardClock, "sent_ms", lambda self, issued_ms, age_s, now_s: self.read_ms(now_s)
+        IncarnationClock, "sent_ms", lambda self, issued_ms, age_s, now_s: self.read_ms(now_s)
     )
 
 
