--- a/src/beryljunction/systems/state/claims.py
+++ b/src/beryljunction/systems/state/claims.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from beryljunction.systems.state.held_keys import HeldClaim, HeldKeys
+from beryljunction.systems.state.held_keys import KeyClaimTable, StoredClaim
 from beryljunction.systems.state.key_claims import (
     ClaimBatch,
     KeyClaim,
@@ -89,7 +89,7 @@
         self.next_offset = 0
         self._name = name
         self._batches = 0
-        self._held_keys = HeldKeys(self.limits.max_keys)
+        self._claim_table = KeyClaimTable(self.limits.max_keys)
         self._pending: dict[str, _PendingClaim] = {}
         self._queue: deque[str] = deque()
         self._in_flight: ClaimBatch | None = None
@@ -98,7 +98,7 @@
         self._now_s = 0.0
 
     def __len__(self) -> int:
-        return len(self._held_keys)
+        return len(self._claim_table)
 
     def submit(self, request_id: str, claim: KeyClaim, now_s: float) -> KeyVerdict | None:
         """Submit a claim; return its verdict, or None if it has to come from the log.
@@ -108,10 +108,10 @@
         because waiting until the deadline would not help the caller.
         """
         now_s = self._advance_clock(now_s)
-        winner = self._held_keys.winner(claim.key, now_s)
+        winner = self._claim_table.winner(claim.key, now_s)
         if winner is not None:
             return self._verdict(claim, winner)
-        down_s = max(self._down_until_s, self._held_keys.blind_until_s) - now_s
+        down_s = max(self._down_until_s, self._claim_table.incomplete_until_s) - now_s
         if down_s > 0.0:
             return KeyUnavailable(down_s)
         self._pending[request_id] = _PendingClaim(request_id, claim, now_s + self.limits.wait_s)
@@ -165,15 +165,15 @@
         self.next_offset = offset + 1
         until_s = self._advance_clock(now_s) + self.limits.life_s
         for claim in claims_of(record):
-            self._held_keys.hold(claim, until_s)
+            self._claim_table.hold(claim, until_s)
 
     def tick(self, now_s: float) -> list[tuple[str, KeyVerdict]]:
         """Return pairs of request id and verdict for the claims that are decided or timed out."""
         now_s = self._advance_clock(now_s)
-        self._held_keys.expire(now_s)
+        self._claim_table.expire(now_s)
         verdicts: list[tuple[str, KeyVerdict]] = []
         for pending in self._pending.values():
-            winner = self._held_keys.winner(pending.claim.key, now_s)
+            winner = self._claim_table.winner(pending.claim.key, now_s)
             if winner is not None:
                 verdicts.append((pending.request_id, self._verdict(pending.claim, winner)))
             elif now_s >= pending.give_up_s:
@@ -183,7 +183,7 @@
         return verdicts
 
     @staticmethod
-    def _verdict(claim: KeyClaim, winner: HeldClaim) -> KeyVerdict:
+    def _verdict(claim: KeyClaim, winner: StoredClaim) -> KeyVerdict:
         if winner.ticket == claim.ticket:
             return KeyWon(winner.ticket)
         if winner.body != claim.body:
--- a/src/beryljunction/systems/state/held_keys.py
+++ b/src/beryljunction/systems/state/held_keys.py
@@ -4,40 +4,40 @@
 
 from beryljunction.systems.state.key_claims import KeyClaim
 
-__all__ = ["HeldClaim", "HeldKeys"]
+__all__ = ["StoredClaim", "KeyClaimTable"]
 
 
 @attrs.define
-class HeldClaim:
+class StoredClaim:
     """A claim that was read; kept small, since a stream has about 22,500 at the target load."""
 
     body: str
     ticket: str
     until_s: float
     sure_s: float
-    behind: "HeldClaim | None" = None
+    next_claim: "StoredClaim | None" = None
 
     def queue(self, other: "HeldClaim") -> None:
         """Append a later claim to this key's list; a second copy of a claim is ignored."""
         row = self
         while row.ticket != other.ticket:
-            if row.behind is None:
-                row.behind = other
+            if row.next_claim is None:
+                row.next_claim = other
                 return
-            row = row.behind
+            row = row.next_claim
 
 
-class HeldKeys:
+class KeyClaimTable:
     """Bounded table of the first claim on each key, with later claims linked to it.
 
     Attributes:
-        blind_until_s: Time until which a key that is not in the table may have been claimed.
+        incomplete_until_s: Time until which a key that is not in the table may have been claimed.
     """
 
     def __init__(self, max_keys: int) -> None:
-        self.blind_until_s = 0.0
+        self.incomplete_until_s = 0.0
         self._max_keys = max_keys
-        self._rows: dict[str, HeldClaim] = {}
+        self._rows: dict[str, StoredClaim] = {}
 
     def __len__(self) -> int:
         return len(self._rows)
@@ -50,16 +50,18 @@
         """
         first = self._rows.get(claim.key)
         if first is not None:
-            first.queue(HeldClaim(claim.body, claim.ticket, until_s, 0.0))
+            first.queue(StoredClaim(claim.body, claim.ticket, until_s, 0.0))
             return
         if len(self._rows) >= self._max_keys:
             # A key that was not stored would look new, so no key counts as new until this claim
             # has expired.
-            self.blind_until_s = until_s
+            self.incomplete_until_s = until_s
             return
-        self._rows[claim.key] = HeldClaim(claim.body, claim.ticket, until_s, self.blind_until_s)
+        self._rows[claim.key] = StoredClaim(
+            claim.body, claim.ticket, until_s, self.incomplete_until_s
+        )
 
-    def winner(self, key: str, now_s: float) -> HeldClaim | None:
+    def winner(self, key: str, now_s: float) -> StoredClaim | None:
         """Return the first claim on a key, or None if none is known for certain."""
         row = self._rows.get(key)
         return row if row is not None and now_s >= row.sure_s else None
@@ -75,5 +77,5 @@
             if row.until_s > now_s:
                 return
             del self._rows[key]
-            if row.behind is not None:
-                self._rows[key] = row.behind
+            if row.next_claim is not None:
+                self._rows[key] = row.next_claim
