--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -30,8 +30,6 @@
     AdmissionSystem,
     AlreadyRunning,
     Arrival,
-    Ask,
-    Asked,
     ClaimBatch,
     ClaimLimits,
     ClaimSystem,
@@ -40,9 +38,11 @@
     KeyWon,
     LedgerLimits,
     LoadSystem,
+    OutcomeAnswer,
     PointerSystem,
     Replay,
     Run,
+    TicketClaimRequest,
     TicketLedger,
     TicketMint,
     TombstoneLimits,
@@ -211,7 +211,7 @@
 
     def _run(self, call: RunCall, reader: tuple[str, int]) -> None:
         heard_age_s = call.heard_age_s
-        if call.idempotent and self.tombstones.names_earlier_start(call.heard):
+        if call.idempotent and self.tombstones.has_other_incarnation(call.heard):
             refusal = Refusal(RefusalCode.STALE_STAMP, "an earlier start", Ran.UNKNOWN, 0.0)
             self._reply(reader, RefusalReply(self._stamp(), refusal))
             return
@@ -245,7 +245,7 @@
     def _claim(self, job: Job, ticket: str) -> None:
         call = job.call
         digest = body_digest(call.body.encode())
-        ask = Ask(
+        request = TicketClaimRequest(
             call.account,
             digest,
             call.request_id,
@@ -254,7 +254,7 @@
             call.heard_age_s,
             call.candidates,
         )
-        claim = self.ledger.claim(ticket, ask, self.now_s)
+        claim = self.ledger.claim(ticket, request, self.now_s)
         if isinstance(claim, Run):
             job.serial = claim.serial
             self._by_serial[claim.serial] = job
@@ -324,8 +324,8 @@
         if job.serial is None:
             self._refuse(job, refusal)
             return
-        burned = self.ledger.burn(job.serial, job.call.account, job.call.candidates)
-        named = claim_refusal(burned) if burned.successor is not None else None
+        retired = self.ledger.retire(job.serial, job.call.account, job.call.candidates)
+        named = claim_refusal(retired) if retired.successor is not None else None
         self._refuse(job, named or refusal)
 
     def _refuse(self, job: Job, refusal: Refusal) -> None:
@@ -383,13 +383,13 @@
             self._resume(call, reader)
             return
         heard_age_s = call.heard_age_s
-        asked = self.tombstones.ask(call.try_id, call.heard, heard_age_s, self.now_s)
+        asked = self.tombstones.query_outcome(call.try_id, call.heard, heard_age_s, self.now_s)
         job = self.jobs.get(call.try_id)
-        if asked is Asked.SEEN and job is not None:
+        if asked is OutcomeAnswer.SEEN and job is not None:
             self._join(job, reader, call.last)
             return
         refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "not known here", Ran.UNKNOWN)
-        if asked is Asked.NOT_RUN:
+        if asked is OutcomeAnswer.NOT_RUN:
             refusal = Refusal(RefusalCode.ENDPOINT_FAILED, "never arrived", Ran.NO)
         self._reply(reader, RefusalReply(self._stamp(), refusal))
 
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -21,8 +21,8 @@
     AdmissionSystem,
     AlreadyRunning,
     Arrival,
-    Asked,
     LoadSystem,
+    OutcomeAnswer,
     PointerSystem,
     Replay,
     TicketLedger,
@@ -131,7 +131,7 @@
     def accept(self, envelope: Envelope, body: bytes) -> Run | Answer | Refusal:
         """Return a new or existing run to read, a stored answer or a refusal."""
         heard_stamp = Stamp.from_text(envelope.heard)
-        if envelope.idempotent and self.tombstones.names_earlier_start(heard_stamp):
+        if envelope.idempotent and self.tombstones.has_other_incarnation(heard_stamp):
             message = "sent to an earlier start of this sidecar, which may have run it; send again"
             return Refusal(RefusalCode.STALE_STAMP, message, Ran.UNKNOWN, 0.0)
         attempt_id = _attempt_id(envelope)
@@ -182,7 +182,7 @@
         if isinstance(decision, AdmissionRefused):
             if run.serial is None:
                 return decision.refusal
-            return self._ledger.burn(run.serial, run.envelope, decision.refusal)
+            return self._ledger.retire(run.serial, run.envelope, decision.refusal)
         self.runs.add(run)
         assert self._group is not None
         self._group.start_soon(self._execute, run)
@@ -233,10 +233,10 @@
             message = "expected a stream that is still kept; it ended, or never was here"
             return Refusal(RefusalCode.NOT_FOUND, message, Ran.UNKNOWN)
         heard_stamp = Stamp.from_text(attach.heard)
-        asked = self.tombstones.ask(
+        asked = self.tombstones.query_outcome(
             _attempt_id(attach), heard_stamp, attach.heard_age_s, boot_time_s()
         )
-        if asked is Asked.NOT_RUN:
+        if asked is OutcomeAnswer.NOT_RUN:
             message = "the request never arrived here and will be refused if it does"
             return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO)
         message = "the sidecar that was given the request is gone or has forgotten it"
@@ -251,7 +251,7 @@
         run = self.runs.get(cancel.request_id)
         if run is None:
             stamp = self.tombstones.stamp(boot_time_s())
-            self.tombstones.ask(_attempt_id(cancel), stamp, 0.0, boot_time_s())
+            self.tombstones.query_outcome(_attempt_id(cancel), stamp, 0.0, boot_time_s())
             return
         is_over = run.ended_s is not None or run.envelope.account != cancel.account
         if not is_over and run.may_be_cut and not run.envelope.streamed:
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -3,7 +3,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.sidecar.runs import Run
-from beryljunction.systems import Ask, Claim, TicketLedger, body_digest
+from beryljunction.systems import TicketClaimRequest, TicketClaimResult, TicketLedger, body_digest
 from beryljunction.tables import Answer, Stamp
 from beryljunction.wire import Envelope
 
@@ -24,9 +24,9 @@
     def __init__(self, ledger: TicketLedger) -> None:
         self._ledger = ledger
 
-    def claim(self, envelope: Envelope, body: bytes) -> Claim:
+    def claim(self, envelope: Envelope, body: bytes) -> TicketClaimResult:
         """Claim the ticket of a request that has just arrived."""
-        ask = Ask(
+        request = TicketClaimRequest(
             envelope.account,
             body_digest(envelope.method.encode(), envelope.path.encode(), body),
             envelope.request_id,
@@ -35,18 +35,18 @@
             envelope.heard_age_s,
             _candidate_stamps(envelope),
         )
-        return self._ledger.claim(envelope.ticket or "", ask, boot_time_s())
+        return self._ledger.claim(envelope.ticket or "", request, boot_time_s())
 
-    def burn(self, serial: str, envelope: Envelope, refusal: Refusal) -> Refusal:
+    def retire(self, serial: str, envelope: Envelope, refusal: Refusal) -> Refusal:
         """Burn a ticket that has not started; return the refusal with its successor."""
-        burned = self._ledger.burn(serial, envelope.account, _candidate_stamps(envelope))
+        retired = self._ledger.retire(serial, envelope.account, _candidate_stamps(envelope))
         return Refusal(
             refusal.code,
             refusal.message,
             # A successor that was named earlier may already have been used by another attempt.
-            Ran.NO if burned.fresh or burned.successor is None else Ran.UNKNOWN,
+            Ran.NO if retired.fresh or retired.successor is None else Ran.UNKNOWN,
             refusal.retry_after_s,
-            successor=burned.successor,
+            successor=retired.successor,
             pointer=refusal.pointer,
         )
 
@@ -64,7 +64,7 @@
             return
         if not started:
             refusal = run.refusal or Refusal(RefusalCode.CANCELLED, "cancelled", Ran.NO)
-            run.refusal = self.burn(run.serial, run.envelope, refusal)
+            run.refusal = self.retire(run.serial, run.envelope, refusal)
         elif run.answer is not None:
             self._ledger.finish(run.serial, run.answer)
         elif run.complete:
@@ -77,7 +77,7 @@
         refusal = run.refusal or Refusal(RefusalCode.ENDPOINT_FAILED, message, run.ran)
         self._ledger.fail(serial, refusal)
         if refusal.ran is Ran.NO:
-            run.refusal = self.burn(serial, run.envelope, refusal)
+            run.refusal = self.retire(serial, run.envelope, refusal)
 
 
 def _candidate_stamps(envelope: Envelope) -> tuple[Stamp, ...]:
--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -50,9 +50,6 @@
 from beryljunction.systems.state.pointers import PointerSystem
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
-    Ask,
-    Burned,
-    Claim,
     Expired,
     Failed,
     Full,
@@ -60,6 +57,9 @@
     Mismatch,
     Replay,
     Run,
+    TicketClaimRequest,
+    TicketClaimResult,
+    TicketRetired,
     Unstamped,
     Unverified,
     WrongIncarnation,
@@ -67,7 +67,12 @@
 )
 from beryljunction.systems.state.ticket_mint import TicketMint, body_digest
 from beryljunction.systems.state.tickets import LedgerLimits, TicketLedger
-from beryljunction.systems.state.tombstones import Arrival, Asked, TombstoneLimits, TombstoneSystem
+from beryljunction.systems.state.tombstones import (
+    Arrival,
+    OutcomeAnswer,
+    TombstoneLimits,
+    TombstoneSystem,
+)
 
 __all__ = [
     "Admission",
@@ -75,11 +80,11 @@
     "AdmissionSystem",
     "AlreadyRunning",
     "Arrival",
-    "Ask",
-    "Asked",
+    "TicketClaimRequest",
+    "OutcomeAnswer",
     "AttemptSystem",
-    "Burned",
-    "Claim",
+    "TicketRetired",
+    "TicketClaimResult",
     "ClaimBatch",
     "ClaimLimits",
     "ClaimSystem",
--- a/src/beryljunction/systems/state/ticket_claims.py
+++ b/src/beryljunction/systems/state/ticket_claims.py
@@ -7,9 +7,9 @@
 
 __all__ = [
     "AlreadyRunning",
-    "Ask",
-    "Burned",
-    "Claim",
+    "TicketClaimRequest",
+    "TicketRetired",
+    "TicketClaimResult",
     "Expired",
     "Failed",
     "Full",
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Ask:
+class TicketClaimRequest:
     """Details of a request that an entry sends to a sidecar with a ticket.
 
     Attributes:
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class Burned:
+class TicketRetired:
     """The ticket will never run here.
 
     Attributes:
@@ -130,12 +130,12 @@
     """The ticket is not signed with the current fleet key; it may have run under an older key."""
 
 
-Claim = (
+TicketClaimResult = (
     Run
     | AlreadyRunning
     | Replay
     | Failed
-    | Burned
+    | TicketRetired
     | WrongIncarnation
     | Expired
     | Mismatch
@@ -146,19 +146,19 @@
 )
 
 
-def claim_refusal(claim: Claim) -> Refusal | None:
+def claim_refusal(claim: TicketClaimResult) -> Refusal | None:
     """Return the refusal for the caller; None if the request runs here or has an answer."""
     if isinstance(claim, Failed):
         return claim.refusal
-    if isinstance(claim, Burned):
-        return _burned_refusal(claim)
+    if isinstance(claim, TicketRetired):
+        return _retired_refusal(claim)
     if isinstance(claim, Replay) and claim.answer is None:
         message = "the request ran and ended; its answer was too large to keep for a retry"
         return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.YES)
     return _REFUSALS.get(type(claim))
 
 
-def _burned_refusal(claim: Burned) -> Refusal:
+def _retired_refusal(claim: TicketRetired) -> Refusal:
     if claim.successor is None:
         message = "not run here and no other endpoint was named; retry later"
         return Refusal(RefusalCode.TICKET_BURNED, message, Ran.NO, 1.0)
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -16,9 +16,6 @@
 from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
-    Ask,
-    Burned,
-    Claim,
     Expired,
     Failed,
     Full,
@@ -26,6 +23,9 @@
     Mismatch,
     Replay,
     Run,
+    TicketClaimRequest,
+    TicketClaimResult,
+    TicketRetired,
     Unstamped,
     Unverified,
     WrongIncarnation,
@@ -84,16 +84,16 @@
         """Return a new ticket; it uses no memory until it is claimed, so a repeat is harmless."""
         return self._mint.mint(self.stamp(now_s), account)
 
-    def has_heard(self, stamp: Stamp | None) -> bool:
+    def is_current_stamp(self, stamp: Stamp | None) -> bool:
         """Whether a stamp is from this incarnation; to be checked before a key is claimed."""
         return stamp is not None and self._is_ours(stamp)
 
-    def claim(self, text: str, ask: Ask, now_s: float) -> Claim:
+    def claim(self, text: str, request: TicketClaimRequest, now_s: float) -> TicketClaimResult:
         """Decide on a request that came with a ticket.
 
         Args:
             text: The ticket.
-            ask: Details of the request from the entry.
+            request: Details of the request from the entry.
             now_s: Time of CLOCK_BOOTTIME, as in every method of this class.
         """
         self._expire(now_s)
@@ -102,14 +102,14 @@
             return Invalid()
         if not ticket.genuine:
             return Unverified()
-        if ticket.account != ask.account or ticket.body_digest not in ("", ask.digest):
+        if ticket.account != request.account or ticket.body_digest not in ("", request.digest):
             return Mismatch()
         if not self._is_ours(ticket.stamp):
             return WrongIncarnation()
         row = self.table.get(ticket.serial)
         if row is not None:
-            return self._claim_again(row, ask)
-        return self._claim_first(ticket, ask, now_s)
+            return self._claim_again(row, request)
+        return self._claim_first(ticket, request, now_s)
 
     def start(self, serial: str, now_s: float) -> bool:
         """Mark a claimed ticket as running, just before the first byte goes to the endpoint.
@@ -123,7 +123,7 @@
         if row.state is not TicketState.CLAIMED:
             raise InvariantError(f"ticket {serial}: expected it claimed, found it {row.state}")
         if row.deadline_ms <= self.clock.read_ms(now_s):
-            row.state = TicketState.BURNED
+            row.state = TicketState.RETIRED
             return False
         row.state = TicketState.RUNNING
         return True
@@ -143,12 +143,12 @@
         """
         row = self._row(serial)
         if refusal.ran is Ran.NO:
-            row.state = TicketState.BURNED
+            row.state = TicketState.RETIRED
             return
         row.state = TicketState.FAILED
         row.refusal = refusal
 
-    def burn(self, serial: str, account: str, candidates: Sequence[Stamp] = ()) -> Burned:
+    def retire(self, serial: str, account: str, candidates: Sequence[Stamp] = ()) -> TicketRetired:
         """Invalidate a ticket that has not started and mint its only successor.
 
         Two entries that try the same ticket at once get the same successor. If each entry minted
@@ -162,21 +162,21 @@
                 sidecar gets the successor.
         """
         row = self._row(serial)
-        if row.state is not TicketState.BURNED and row.state is not TicketState.CLAIMED:
+        if row.state is not TicketState.RETIRED and row.state is not TicketState.CLAIMED:
             raise InvariantError(f"ticket {serial}: expected it not started, found it {row.state}")
-        row.state = TicketState.BURNED
+        row.state = TicketState.RETIRED
         if row.successor is not None:
-            return Burned(row.successor, fresh=False)
+            return TicketRetired(row.successor, fresh=False)
         target = next((stamp for stamp in candidates if not self._is_ours(stamp)), None)
         if target is not None:
             row.successor = self._mint.mint(target, account, row.body_digest)
-        return Burned(row.successor, fresh=True)
+        return TicketRetired(row.successor, fresh=True)
 
-    def _claim_again(self, row: TicketRow, ask: Ask) -> Claim:
-        if row.body_digest != ask.digest:
+    def _claim_again(self, row: TicketRow, request: TicketClaimRequest) -> TicketClaimResult:
+        if row.body_digest != request.digest:
             return Mismatch()
-        if row.state is TicketState.BURNED:
-            return self.burn(row.serial, ask.account, ask.candidates)
+        if row.state is TicketState.RETIRED:
+            return self.retire(row.serial, request.account, request.candidates)
         if row.state is TicketState.FINISHED:
             return Replay(row.answer)
         if row.state is TicketState.FAILED:
@@ -184,8 +184,10 @@
             return Failed(row.refusal)
         return AlreadyRunning(row.serial, row.request_id)
 
-    def _claim_first(self, ticket: Ticket, ask: Ask, now_s: float) -> Claim:
-        if not self.has_heard(ask.heard):
+    def _claim_first(
+        self, ticket: Ticket, request: TicketClaimRequest, now_s: float
+    ) -> TicketClaimResult:
+        if not self.is_current_stamp(request.heard):
             return Unstamped()
         validity = self.clock.validity_of(ticket.stamp.issued_ms, now_s)
         if validity is IssueValidity.NEVER_ISSUED:
@@ -199,19 +201,19 @@
             return Full()
         row = TicketRow(
             ticket.serial,
-            ask.digest,
-            ask.request_id,
-            deadline_ms=self._deadline_ms(ask, now_s),
+            request.digest,
+            request.request_id,
+            deadline_ms=self._deadline_ms(request, now_s),
             expires_ms=ticket.stamp.issued_ms + self.clock.life_ms,
         )
         self.table.add(row)
         self._by_age.append(row)
         return Run(ticket.serial)
 
-    def _deadline_ms(self, ask: Ask, now_s: float) -> int:
-        assert ask.heard is not None
-        sent_ms = self.clock.sent_ms(ask.heard.issued_ms, ask.heard_age_s, now_s)
-        return sent_ms + int(ask.wait_s * 1000)
+    def _deadline_ms(self, request: TicketClaimRequest, now_s: float) -> int:
+        assert request.heard is not None
+        sent_ms = self.clock.sent_ms(request.heard.issued_ms, request.heard_age_s, now_s)
+        return sent_ms + int(request.wait_s * 1000)
 
     def _expire(self, now_s: float) -> None:
         """Remove rows of tickets that have expired, except those waiting or running."""
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -12,7 +12,7 @@
 from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.tables import Stamp
 
-__all__ = ["Arrival", "Asked", "TombstoneLimits", "TombstoneSystem"]
+__all__ = ["Arrival", "OutcomeAnswer", "TombstoneLimits", "TombstoneSystem"]
 
 
 class Arrival(enum.StrEnum):
@@ -30,7 +30,7 @@
     TOO_OLD = "too_old"
 
 
-class Asked(enum.StrEnum):
+class OutcomeAnswer(enum.StrEnum):
     """A sidecar's answer to the question whether a request ran."""
 
     SEEN = "seen"
@@ -63,7 +63,7 @@
     clock is involved. Without a stamp a late request can't be told from a new one: it is accepted
     on its first arrival, and the answer about it is never "not run". A request with a stamp of
     another incarnation is refused by the ledger or, if it is idempotent, by
-    :meth:`names_earlier_start`.
+    :meth:`has_other_incarnation`.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
             return Arrival.FRESH
         return Arrival.CLOSED if validity in _NOT_RUN_VALIDITIES else Arrival.TOO_OLD
 
-    def names_earlier_start(self, heard: Stamp | None) -> bool:
+    def has_other_incarnation(self, heard: Stamp | None) -> bool:
         """Whether a request was sent to an earlier incarnation of this sidecar.
 
         The earlier process may have run it, or have answered "not run" and lost the tombstone in
@@ -114,7 +114,9 @@
         """
         return heard is not None and not self._is_ours(heard)
 
-    def ask(self, request_id: str, heard: Stamp | None, age_s: float, now_s: float) -> Asked:
+    def query_outcome(
+        self, request_id: str, heard: Stamp | None, age_s: float, now_s: float
+    ) -> OutcomeAnswer:
         """Return what is known of a request; the answer "not run" stores a tombstone.
 
         Stamp and age are those sent with the request, so that this answer and the check of a late
@@ -123,13 +125,13 @@
         self._remove_expired(now_s)
         row = self._rows.get(request_id)
         if row is not None:
-            return Asked.NOT_RUN if row[1] else Asked.SEEN
+            return OutcomeAnswer.NOT_RUN if row[1] else OutcomeAnswer.SEEN
         if heard is None or not self._is_ours(heard):
-            return Asked.UNKNOWN
+            return OutcomeAnswer.UNKNOWN
         validity = self._sent_validity(heard, age_s, now_s)
         if validity is IssueValidity.OPEN:
             self._remember(request_id, True, now_s)
-        return Asked.NOT_RUN if validity in _NOT_RUN_VALIDITIES else Asked.UNKNOWN
+        return OutcomeAnswer.NOT_RUN if validity in _NOT_RUN_VALIDITIES else OutcomeAnswer.UNKNOWN
 
     def _sent_validity(self, heard: Stamp, age_s: float, now_s: float) -> IssueValidity:
         """Return the validity of the sending time; the stamp itself may be many minutes old."""
--- a/src/beryljunction/tables/tickets.py
+++ b/src/beryljunction/tables/tickets.py
@@ -61,7 +61,7 @@
     RUNNING = "running"
     FINISHED = "finished"
     FAILED = "failed"
-    BURNED = "burned"
+    RETIRED = "burned"
 
 
 @attrs.frozen
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -9,10 +9,10 @@
 from beryljunction.streams import FrameNumberer, SequenceChecker, event_position
 from beryljunction.systems import (
     AdmissionSystem,
-    Asked,
     ClaimSystem,
     IncarnationClock,
     KeyWon,
+    OutcomeAnswer,
     Run,
     TicketLedger,
     TombstoneSystem,
@@ -80,13 +80,13 @@
 
 
 def name_successors_twice(patch):
-    real = TicketLedger.burn
+    real = TicketLedger.retire
 
-    def burn(self, serial, account, candidates=()):
+    def retire(self, serial, account, candidates=()):
         self._row(serial).successor = None
         return real(self, serial, account, candidates)
 
-    patch.setattr(TicketLedger, "burn", burn)
+    patch.setattr(TicketLedger, "retire", retire)
 
 
 def start_after_the_deadline(patch):
@@ -106,9 +106,9 @@
 def take_any_body(patch):
     real = TicketLedger._claim_again
 
-    def claim_again(self, row, ask):
-        row.body_digest = ask.digest
-        return real(self, row, ask)
+    def claim_again(self, row, request):
+        row.body_digest = request.digest
+        return real(self, row, request)
 
     patch.setattr(TicketLedger, "_claim_again", claim_again)
 
@@ -116,8 +116,8 @@
 def run_a_joined_ticket_again(patch):
     real = TicketLedger.claim
 
-    def claim(self, text, ask, now_s):
-        claimed = real(self, text, ask, now_s)
+    def claim(self, text, request, now_s):
+        claimed = real(self, text, request, now_s)
         ticket = self._mint.read(text)
         row = self.table.get(ticket.serial) if ticket else None
         if row is not None and row.state is TicketState.RUNNING:
@@ -172,15 +172,15 @@
 
 
 def leave_no_tombstone(patch):
-    def ask(self, request_id, heard, age_s, now_s):
-        return Asked.NOT_RUN if self._rows.get(request_id) is None else Asked.SEEN
+    def query_outcome(self, request_id, heard, age_s, now_s):
+        return OutcomeAnswer.NOT_RUN if self._rows.get(request_id) is None else OutcomeAnswer.SEEN
 
-    patch.setattr(TombstoneSystem, "ask", ask)
+    patch.setattr(TombstoneSystem, "query_outcome", query_outcome)
 
 
 def burn_what_may_have_run(patch):
     def fail(self, serial, refusal):
-        self._row(serial).state = TicketState.BURNED
+        self._row(serial).state = TicketState.RETIRED
 
     patch.setattr(TicketLedger, "fail", fail)
 
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -4,19 +4,19 @@
 from beryljunction.systems import (
     AlreadyRunning,
     Arrival,
-    Ask,
-    Asked,
-    Burned,
     Expired,
     Failed,
     Full,
     Invalid,
     LedgerLimits,
     Mismatch,
+    OutcomeAnswer,
     Replay,
     Run,
+    TicketClaimRequest,
     TicketLedger,
     TicketMint,
+    TicketRetired,
     TombstoneLimits,
     TombstoneSystem,
     Unstamped,
@@ -36,10 +36,10 @@
     return TicketLedger(MINT, "drafter-0", incarnation, started_s, LIMITS)
 
 
-def ask(request_id: str = "r1", digest: str = "d1", **fields) -> Ask:
+def ask(request_id: str = "r1", digest: str = "d1", **fields) -> TicketClaimRequest:
     fields.setdefault("heard", Stamp("drafter-0", "inc-a", 0))
     fields.setdefault("heard_age_s", 9999.0)
-    return Ask("federation", digest, request_id, wait_s=10.0, **fields)
+    return TicketClaimRequest("federation", digest, request_id, wait_s=10.0, **fields)
 
 
 class TestTicketLedger:
@@ -92,20 +92,20 @@
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
 
-        burned = here.burn(run.serial, "federation", [OTHER])
+        retired = here.retire(run.serial, "federation", [OTHER])
         later = here.claim(ticket, ask("r2", candidates=(THIRD,)), 1002.0)
 
-        assert burned.fresh
-        assert later == Burned(burned.successor, fresh=False)
-        assert MINT.read(burned.successor).stamp == OTHER
-        assert claim_refusal(burned).ran is Ran.NO
+        assert retired.fresh
+        assert later == TicketRetired(retired.successor, fresh=False)
+        assert MINT.read(retired.successor).stamp == OTHER
+        assert claim_refusal(retired).ran is Ran.NO
         assert claim_refusal(later).ran is Ran.UNKNOWN
 
     def test_burned_ticket_without_successor_gets_one_from_a_later_try(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
-        assert here.burn(run.serial, "federation") == Burned(None, fresh=True)
+        assert here.retire(run.serial, "federation") == TicketRetired(None, fresh=True)
 
         named = here.claim(ticket, ask("r2", candidates=(here.stamp(1002.0), THIRD)), 1002.0)
         again = here.claim(ticket, ask("r3", candidates=(OTHER,)), 1003.0)
@@ -117,7 +117,7 @@
         here = ledger()
         there = TicketLedger(MINT, "drafter-1", "inc-b", 900.0, LIMITS)
         run = here.claim(here.mint("federation", 1000.0), ask(digest="d1"), 1001.0)
-        successor = here.burn(run.serial, "federation", [there.stamp(1001.0)]).successor
+        successor = here.retire(run.serial, "federation", [there.stamp(1001.0)]).successor
 
         assert there.claim(successor, ask(digest="d2"), 1002.0) == Mismatch()
         heard = there.stamp(1001.0)
@@ -126,7 +126,7 @@
     @pytest.mark.parametrize(
         ("failure", "expected"),
         [
-            pytest.param(Ran.NO, Burned, id="no-byte-sent"),
+            pytest.param(Ran.NO, TicketRetired, id="no-byte-sent"),
             pytest.param(Ran.UNKNOWN, Failed, id="connection-broke"),
         ],
     )
@@ -144,7 +144,9 @@
         ("given", "expected", "ran"),
         [
             pytest.param(ask(digest="d2"), Mismatch(), Ran.NO, id="other-body"),
-            pytest.param(Ask("mill", "d1", "r9", 1.0), Mismatch(), Ran.NO, id="other-account"),
+            pytest.param(
+                TicketClaimRequest("mill", "d1", "r9", 1.0), Mismatch(), Ran.NO, id="other-account"
+            ),
         ],
     )
     def test_ticket_is_for_one_account_and_one_body(self, given, expected, ran):
@@ -216,7 +218,7 @@
         for i in range(4):
             here.claim(here.mint("federation", 1000.0), ask(f"r{i}"), 1001.0)
         for row in here.table.rows():
-            here.burn(row.serial, "federation")
+            here.retire(row.serial, "federation")
         ticket = here.mint("federation", 1090.0)
 
         refused = here.claim(ticket, ask("r5"), 1090.0)
@@ -243,7 +245,7 @@
         run = here.claim(ticket, ask(), 1001.0)
 
         assert not here.start(run.serial, 1061.0)
-        assert here.claim(ticket, ask("r2"), 1062.0) == Burned(None, fresh=True)
+        assert here.claim(ticket, ask("r2"), 1062.0) == TicketRetired(None, fresh=True)
 
     @pytest.mark.parametrize(
         "heard", [None, Stamp("drafter-0", "inc-z", 5)], ids=["no-stamp", "earlier-start"]
@@ -279,7 +281,7 @@
         here = self.system()
         heard = here.stamp(1.0)
 
-        assert here.ask("r1", heard, 0.0, 2.0) is Asked.NOT_RUN
+        assert here.query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.NOT_RUN
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.BURIED
 
     def test_request_that_arrived_is_seen_and_its_copy_is_a_duplicate(self):
@@ -287,7 +289,7 @@
         heard = here.stamp(1.0)
 
         assert here.arrive("r1", heard, 0.0, 2.0) is Arrival.FRESH
-        assert here.ask("r1", heard, 0.0, 3.0) is Asked.SEEN
+        assert here.query_outcome("r1", heard, 0.0, 3.0) is OutcomeAnswer.SEEN
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.DUPLICATE
 
     def test_entry_with_an_old_stamp_may_still_send(self):
@@ -295,30 +297,30 @@
         heard = here.stamp(1.0)
 
         assert here.arrive("r1", heard, 500.0, 501.0) is Arrival.FRESH
-        assert here.ask("r2", heard, 500.0, 502.0) is Asked.NOT_RUN
+        assert here.query_outcome("r2", heard, 500.0, 502.0) is OutcomeAnswer.NOT_RUN
         assert here.arrive("r2", heard, 500.0, 503.0) is Arrival.BURIED
 
     def test_arrival_later_than_any_tombstone_is_refused(self):
         here = self.system()
         heard = here.stamp(1.0)
-        here.ask("r1", heard, 0.0, 2.0)
+        here.query_outcome("r1", heard, 0.0, 2.0)
 
         assert here.arrive("r1", heard, 0.0, 500.0) is Arrival.TOO_OLD
-        assert here.ask("r1", heard, 0.0, 500.0) is Asked.UNKNOWN
+        assert here.query_outcome("r1", heard, 0.0, 500.0) is OutcomeAnswer.UNKNOWN
         assert here.arrive("r1", heard, 0.0, 2.0) is Arrival.TOO_OLD
 
     @pytest.mark.parametrize(
         "heard", [None, Stamp("drafter-0", "inc-z", 1)], ids=["no-stamp", "earlier-start"]
     )
     def test_answer_is_unknown_without_a_stamp_of_this_incarnation(self, heard):
-        assert self.system().ask("r1", heard, 0.0, 2.0) is Asked.UNKNOWN
+        assert self.system().query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.UNKNOWN
 
     def test_full_table_keeps_arrivals_and_refuses_requests_reported_as_not_run(self):
         here = self.system(max_rows=1)
         heard = here.stamp(1.0)
         here.arrive("r1", heard, 0.0, 1.0)
 
-        assert here.ask("r2", heard, 0.0, 2.0) is Asked.NOT_RUN
-        assert here.ask("r1", heard, 0.0, 2.0) is Asked.SEEN
+        assert here.query_outcome("r2", heard, 0.0, 2.0) is OutcomeAnswer.NOT_RUN
+        assert here.query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.SEEN
         assert here.arrive("r2", heard, 0.0, 70.0) is not Arrival.FRESH
         assert here.arrive("r3", here.stamp(70.0), 0.0, 70.0) is Arrival.FRESH
