--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/orders.py
@@ -11,10 +11,21 @@
 from beryljunction.engines.peers import OrderPeers
 from beryljunction.engines.turns import TurnLog
 from beryljunction.settings.schema import ResolvedSettings
-from beryljunction.systems.recovery.orders import Hold, NeedSlot, Order, OrderSystem, wanted_of
-from beryljunction.systems.recovery.rollout import Go, RolloutLimits, RolloutSystem, Stay
+from beryljunction.systems.recovery.orders import (
+    AwaitRollout,
+    NoOrder,
+    Order,
+    OrderSystem,
+    desired_state_of,
+)
+from beryljunction.systems.recovery.rollout import (
+    LoadAllowed,
+    LoadDelayed,
+    RolloutLimits,
+    RolloutSystem,
+)
 from beryljunction.systems.recovery.turns import EndTurn, RenewTurn, TakeTurn, TurnStep, TurnSystem
-from beryljunction.tables.orders import EngineState, OrderRow, OrderRowTable, Phase, Wanted
+from beryljunction.tables.orders import DesiredState, EngineState, OrderRow, OrderRowTable, Phase
 
 __all__ = ["OrderRunner", "WorkGate"]
 
@@ -97,7 +108,7 @@
 
     async def step(self) -> None:
         """Read the state of the engine, decide, and send at most one order."""
-        if self._wanted() is None:
+        if self._desired() is None:
             # Plain services are not polled: they would handle the request as one of a caller.
             self.reason = f"the settings list no models for service {self._service}"
             return
@@ -109,56 +120,56 @@
         if self.leaving:
             self.phase, self.reason = Phase.LEAVING, "the endpoint is leaving"
             return
-        wanted = self._wanted()
-        if wanted is None:
+        desired = self._desired()
+        if desired is None:
             return
         decided_s = self._now_s()
-        step = self._order_rules.decide(wanted, state, decided_s)
-        if isinstance(step, Hold):
-            self._update_phase(step, wanted, state)
-            await self._renew_or_end_turn(state, wanted)
+        step = self._order_rules.decide(desired, state, decided_s)
+        if isinstance(step, NoOrder):
+            self._update_phase(step, desired, state)
+            await self._renew_or_end_turn(state, desired)
         elif isinstance(step, Order):
             await self._send(step, decided_s)
         elif await self._may_load(step, decided_s):
             await self._drain_and_send(step, decided_s)
-        self._gate.set_open(self._serves(wanted, state))
+        self._gate.set_open(self._serves(desired, state))
 
     def row(self) -> OrderRow:
         """Return the row about this endpoint that is sent to its peers."""
-        wanted, state = self._wanted(), self._state
-        if wanted is None or state is None:
+        desired, state = self._desired(), self._state
+        if desired is None or state is None:
             return OrderRow(self._endpoint_id, self.phase, done=False, serves=False, fence=0)
         return OrderRow(
             self._endpoint_id,
             self.phase,
-            done=state.fulfils(wanted),
-            serves=self._serves(wanted, state),
-            fence=wanted.fence,
+            done=state.fulfils(desired),
+            serves=self._serves(desired, state),
+            fence=desired.fence,
         )
 
     def hear(self, row: OrderRow) -> None:
         """Store a row received from a peer."""
         self._peer_rows.put(row, self._now_s())
 
-    def _wanted(self) -> Wanted | None:
+    def _desired(self) -> DesiredState | None:
         """Return the target state; None if the service is unknown or has no engines."""
         service = self._view().services.get(self._service)
         if service is None or service.kind != "engine" or not service.models:
             return None
-        return wanted_of(self._view(), self._service)
+        return desired_state_of(self._view(), self._service)
 
-    def _serves(self, wanted: Wanted, state: EngineState) -> bool:
-        return state.serves(wanted) and self.phase in (Phase.SERVING, Phase.INTENDS)
+    def _serves(self, desired: DesiredState, state: EngineState) -> bool:
+        return state.serves(desired) and self.phase in (Phase.SERVING, Phase.INTENDS)
 
-    def _update_phase(self, step: Hold, wanted: Wanted, state: EngineState) -> None:
+    def _update_phase(self, step: NoOrder, desired: DesiredState, state: EngineState) -> None:
         self.reason = step.reason
         if state.is_loading:
             self.phase = Phase.LOADING
-        elif state.serves(wanted):
+        elif state.serves(desired):
             self._rollout_rules.withdraw()
             self.phase = Phase.SERVING
 
-    async def _may_load(self, step: NeedSlot, decided_s: float) -> bool:
+    async def _may_load(self, step: AwaitRollout, decided_s: float) -> bool:
         """Whether this endpoint may load; it keeps its slot after a failed load.
 
         So a version that cannot be loaded stops one endpoint of the service and not all of them.
@@ -168,8 +179,8 @@
         if self.phase is Phase.DRAINING:
             return await self._still_holds_turn(step.interrupts)
         decision = await self._request_slot(step.interrupts)
-        if not isinstance(decision, Go):
-            reason = decision.reason if isinstance(decision, Stay) else "waiting for a turn"
+        if not isinstance(decision, LoadAllowed):
+            reason = decision.reason if isinstance(decision, LoadDelayed) else "waiting for a turn"
             self.phase, self.reason = Phase.INTENDS, reason
             return False
         if self._now_s() - decided_s > _MAX_DECISION_AGE_S:
@@ -187,7 +198,7 @@
         if self._turns is not None and await self._turns.refresh():
             return await self._decide_by_turn(self._turns, interrupts)
         if self._turns is not None and interrupts:
-            return Stay("the log does not answer; endpoints keep serving until it does")
+            return LoadDelayed("the log does not answer; endpoints keep serving until it does")
         for row in await self._peers.exchange(self.row()):
             self.hear(row)
         self._peer_rows.drop_older(self._now_s() - _ROW_TTL_S)
@@ -201,7 +212,7 @@
         Only an endpoint whose turn has come asks its peers, and each of them once per step.
         """
         limits = self._limits()
-        is_turn = self._turn_rules.is_near(turns.queue, limits)
+        is_turn = self._turn_rules.turn_is_due(turns.queue, limits)
         peer_rows = await self._peers.exchange(self.row()) if is_turn else []
         step = self._turn_rules.decide(
             turns.queue, self._peers.listed(), peer_rows, limits, interrupts, self._now_s()
@@ -235,7 +246,7 @@
         if self._turn_rules.renews(turns.queue, self._now_s()):
             await turns.renew(self._endpoint_id)
 
-    async def _renew_or_end_turn(self, state: EngineState, wanted: Wanted) -> None:
+    async def _renew_or_end_turn(self, state: EngineState, desired: DesiredState) -> None:
         """Renew the turn during a load; end it when it is no longer needed."""
         turns = self._turns
         own_turn = turns.queue.turn(self._endpoint_id) if turns is not None else None
@@ -246,12 +257,12 @@
         own_turn = turns.queue.turn(self._endpoint_id)
         if own_turn is None:
             return
-        if self.phase is Phase.SERVING and state.fulfils(wanted):
+        if self.phase is Phase.SERVING and state.fulfils(desired):
             await turns.end(EndTurn(self._endpoint_id, own_turn.renewed_at))
         else:
             await self._renew_if_due(turns)
 
-    async def _drain_and_send(self, step: NeedSlot, decided_s: float) -> None:
+    async def _drain_and_send(self, step: AwaitRollout, decided_s: float) -> None:
         """Refuse new requests, wait for running ones without a timeout, then send the order."""
         self._rollout_rules.withdraw()
         self.phase = Phase.DRAINING
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -10,7 +10,13 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.sidecar.calls import Call
 from beryljunction.sidecar.kv import KvClient
-from beryljunction.systems import AdmissionSystem, Handed, HandoverSystem, Transfer, wants_prefix
+from beryljunction.systems import (
+    AdmissionSystem,
+    HandoverSystem,
+    Transfer,
+    TransferResult,
+    wants_prefix,
+)
 from beryljunction.tables import EndpointTable, Prefix, PrefixTable
 from beryljunction.timeline import Timeline
 from beryljunction.wire import (
@@ -92,7 +98,7 @@
         async with self._lock:
             busy = {work.chat_key for work in self._admission.requests if work.chat_key is not None}
             plan = self.system.plan(self._prefixes, busy, self._members(), time.monotonic())
-            counts: collections.Counter[Handed] = collections.Counter()
+            counts: collections.Counter[TransferResult] = collections.Counter()
             try:
                 async with anyio.create_task_group() as group:
                     for _ in range(_MAX_PARALLEL_TRANSFERS):
@@ -103,34 +109,34 @@
                     self._timeline.add("prefixes_handed_over", detail=detail)
 
     async def _run_transfers(
-        self, transfers: Iterator[Transfer], counts: collections.Counter[Handed]
+        self, transfers: Iterator[Transfer], counts: collections.Counter[TransferResult]
     ) -> None:
         """Run transfers one after the other; several tasks share the same plan."""
         for transfer in transfers:
             if not self._admission.leaving or self._admission.requests.waiting_count:
                 return
-            if self.system.may_go(transfer):
+            if self.system.may_start(transfer):
                 counts[await self._transfer(transfer)] += 1
             else:
                 self.system.skipped(transfer)
                 await anyio.lowlevel.checkpoint()
 
-    async def _transfer(self, transfer: Transfer) -> Handed:
+    async def _transfer(self, transfer: Transfer) -> TransferResult:
         """Transfer one prefix within its time limit; a failure costs its chat one cold prefill."""
-        result = Handed.EXPORT_FAILED
+        result = TransferResult.EXPORT_FAILED
         self.system.started(transfer)
         with anyio.move_on_after(transfer.limit_s):
             exported = await self._kv.export(transfer.chat_id)
             if exported is not None and exported.tokens == 0:
-                result = Handed.EVICTED
+                result = TransferResult.EVICTED
             elif exported is not None:
                 # A timeout from here on counts as a failure of the successor.
-                result = Handed.SUCCESSOR_FAILED
+                result = TransferResult.SUCCESSOR_FAILED
                 result = await self._offer(transfer, exported.description)
         self.system.ended(transfer, result)
         return result
 
-    async def _offer(self, transfer: Transfer, description: str) -> Handed:
+    async def _offer(self, transfer: Transfer, description: str) -> TransferResult:
         own_id = self._admission.pointers.endpoint_id
         idle_s = time.monotonic() - transfer.used_s
         offer = PrefixOffer(transfer.chat_key, transfer.chat_id, own_id, idle_s, description)
@@ -140,11 +146,11 @@
                 "POST", url, headers=self._headers, content=encode(offer)
             )
             if dict(response.headers).get(OUTCOME_HEADER) != Outcome.DONE.encode():
-                return Handed.SUCCESSOR_FAILED
+                return TransferResult.SUCCESSOR_FAILED
             answer = decode(response.content, PrefixTaken)
         except (*_CONNECTION_ERRORS, ValueError):
-            return Handed.SUCCESSOR_FAILED
-        return Handed.TAKEN if answer.tokens else Handed.DECLINED
+            return TransferResult.SUCCESSOR_FAILED
+        return TransferResult.TAKEN if answer.tokens else TransferResult.DECLINED
 
 
 class PrefixReceiver:
--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -1,10 +1,10 @@
 """Decisions: each system works over tables, with the time handed in and no input or output."""
 
 from beryljunction.systems.recovery.handover import (
-    Handed,
     HandoverLimits,
     HandoverSystem,
     Transfer,
+    TransferResult,
     successor_of,
     wants_prefix,
 )
@@ -95,7 +95,7 @@
     "IncarnationClock",
     "Full",
     "GiveUp",
-    "Handed",
+    "TransferResult",
     "HandoverLimits",
     "HandoverSystem",
     "Invalid",
--- a/src/beryljunction/systems/recovery/handover.py
+++ b/src/beryljunction/systems/recovery/handover.py
@@ -8,12 +8,19 @@
 from beryljunction.systems.requests.placement import PlacementQuery, PlacementSystem
 from beryljunction.tables import ChatPointer, Endpoint, EndpointTable, PrefixTable
 
-__all__ = ["HandoverLimits", "HandoverSystem", "Handed", "Transfer", "successor_of", "wants_prefix"]
+__all__ = [
+    "HandoverLimits",
+    "HandoverSystem",
+    "TransferResult",
+    "Transfer",
+    "successor_of",
+    "wants_prefix",
+]
 
 _MAX_EXPORT_FAILURES = 3
 
 
-class Handed(enum.StrEnum):
+class TransferResult(enum.StrEnum):
     """Result of one transfer.
 
     Attributes:
@@ -126,7 +133,7 @@
                     row.chat_key, row.chat_id, row.tokens, successor, row.used_s, row_limit_s
                 )
 
-    def may_go(self, transfer: Transfer) -> bool:
+    def may_start(self, transfer: Transfer) -> bool:
         """Return whether a planned transfer should still be started.
 
         A successor that failed once gets no more transfers: it is gone, leaving or overloaded, and
@@ -149,13 +156,13 @@
         self._handled.add(transfer.chat_key)
         self._moved_bytes += transfer.tokens * self.limits.token_bytes
 
-    def ended(self, transfer: Transfer, handed: Handed) -> None:
+    def ended(self, transfer: Transfer, result: TransferResult) -> None:
         """Record the result of a transfer; bytes that were not moved are not counted."""
-        failed_here = handed is Handed.EXPORT_FAILED
+        failed_here = result is TransferResult.EXPORT_FAILED
         self._export_failures = self._export_failures + 1 if failed_here else 0
-        if handed is Handed.SUCCESSOR_FAILED:
+        if result is TransferResult.SUCCESSOR_FAILED:
             self._failed_successors.add(transfer.successor.endpoint_id)
-        if handed not in (Handed.TAKEN, Handed.SUCCESSOR_FAILED):
+        if result not in (TransferResult.TAKEN, TransferResult.SUCCESSOR_FAILED):
             self._moved_bytes -= transfer.tokens * self.limits.token_bytes
 
     def _time_limit_s(self, tokens: int) -> float:
--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -5,9 +5,9 @@
 import attrs
 
 from beryljunction.settings.schema import ResolvedSettings
-from beryljunction.tables.orders import EngineState, Wanted
+from beryljunction.tables.orders import DesiredState, EngineState
 
-__all__ = ["Hold", "NeedSlot", "Order", "OrderStep", "OrderSystem", "wanted_of"]
+__all__ = ["NoOrder", "AwaitRollout", "Order", "OrderStep", "OrderSystem", "desired_state_of"]
 
 _MIN_RETRY_S = 2.0
 _MAX_RETRY_S = 120.0
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class NeedSlot:
+class AwaitRollout:
     """Give this order once the rollout allows this endpoint to load.
 
     Attributes:
@@ -40,20 +40,20 @@
 
 
 @attrs.frozen
-class Hold:
+class NoOrder:
     """Send no order now."""
 
     reason: str
 
 
-OrderStep = Order | NeedSlot | Hold
+OrderStep = Order | AwaitRollout | NoOrder
 
 
-def wanted_of(view: ResolvedSettings, service: str) -> Wanted:
+def desired_state_of(view: ResolvedSettings, service: str) -> DesiredState:
     """Return what the settings want the engines of a service to hold."""
     settings = view.services[service]
     models = dict.fromkeys(settings.models, settings.model_version)
-    return Wanted(models, tuple(sorted(settings.adapters)), settings.role, view.version)
+    return DesiredState(models, tuple(sorted(settings.adapters)), settings.role, view.version)
 
 
 class OrderSystem:
@@ -71,22 +71,24 @@
         self._failures = 0
         self._retry_at_s = 0.0
 
-    def decide(self, wanted: Wanted, state: EngineState, now_s: float) -> OrderStep:
+    def decide(self, desired: DesiredState, state: EngineState, now_s: float) -> OrderStep:
         """Return the next step towards the wanted state."""
-        if state.fence is not None and state.fence > wanted.fence:
+        if state.fence is not None and state.fence > desired.fence:
             # Another sidecar of this slot, or this one before a restart, had newer settings.
-            return Hold(f"settings {wanted.fence} here are older than the engine's {state.fence}")
+            return NoOrder(
+                f"settings {desired.fence} here are older than the engine's {state.fence}"
+            )
         if state.is_loading:
-            return self._decide_while_loading(wanted, state)
-        if state.fulfils(wanted):
+            return self._decide_while_loading(desired, state)
+        if state.fulfils(desired):
             self._failures = 0
-            return Hold("the engine holds what is wanted")
+            return NoOrder("the engine holds what is wanted")
         if self._backs_off(state, now_s):
-            return Hold(f"the last load failed ({state.failed}); retrying after a backoff")
-        order = _next_order(wanted, state)
-        loads = order.models != _ready(wanted, state) or set(order.adapters) - set(state.adapters)
+            return NoOrder(f"the last load failed ({state.failed}); retrying after a backoff")
+        order = _next_order(desired, state)
+        loads = order.models != _ready(desired, state) or set(order.adapters) - set(state.adapters)
         if loads or order.role != state.role:
-            return NeedSlot(order, interrupts=state.serves(wanted))
+            return AwaitRollout(order, interrupts=state.serves(desired))
         return order
 
     def ordered(self, now_s: float, *, refused: bool) -> None:
@@ -107,34 +109,34 @@
             self.ordered(now_s, refused=True)
         return now_s < self._retry_at_s
 
-    def _decide_while_loading(self, wanted: Wanted, state: EngineState) -> OrderStep:
+    def _decide_while_loading(self, desired: DesiredState, state: EngineState) -> OrderStep:
         """Let a load continue however long it takes, unless its result is no longer wanted.
 
         Ordering the same load again would restart it at a store that is already slow.
         """
-        models = state.loading.items() <= wanted.models.items()
-        if models and set(state.loading_adapters) <= set(wanted.adapters):
-            return Hold("a load is in progress")
+        models = state.loading.items() <= desired.models.items()
+        if models and set(state.loading_adapters) <= set(desired.adapters):
+            return NoOrder("a load is in progress")
         return Order(
-            _ready(wanted, state),
-            tuple(a for a in state.adapters if a in wanted.adapters),
+            _ready(desired, state),
+            tuple(a for a in state.adapters if a in desired.adapters),
             state.role,
-            wanted.fence,
+            desired.fence,
         )
 
 
-def _ready(wanted: Wanted, state: EngineState) -> dict[str, str]:
-    return {n: v for n, v in state.models.items() if wanted.models.get(n) == v}
+def _ready(desired: DesiredState, state: EngineState) -> dict[str, str]:
+    return {n: v for n, v in state.models.items() if desired.models.get(n) == v}
 
 
-def _next_order(wanted: Wanted, state: EngineState) -> Order:
+def _next_order(desired: DesiredState, state: EngineState) -> Order:
     """Return an order that drops what is not wanted and adds one missing model or adapter."""
-    models = _ready(wanted, state)
-    adapters = [a for a in wanted.adapters if a in state.adapters]
-    missing_models = [name for name in sorted(wanted.models) if name not in models]
-    missing_adapters = [a for a in wanted.adapters if a not in adapters]
+    models = _ready(desired, state)
+    adapters = [a for a in desired.adapters if a in state.adapters]
+    missing_models = [name for name in sorted(desired.models) if name not in models]
+    missing_adapters = [a for a in desired.adapters if a not in adapters]
     if missing_models:
-        models[missing_models[0]] = wanted.models[missing_models[0]]
+        models[missing_models[0]] = desired.models[missing_models[0]]
     elif missing_adapters:
         adapters.append(missing_adapters[0])
-    return Order(models, tuple(adapters), wanted.role, wanted.fence)
+    return Order(models, tuple(adapters), desired.role, desired.fence)
--- a/src/beryljunction/systems/recovery/rollout.py
+++ b/src/beryljunction/systems/recovery/rollout.py
@@ -14,7 +14,7 @@
 
 from beryljunction.tables.orders import OrderRow, Phase
 
-__all__ = ["Go", "RolloutLimits", "RolloutSystem", "Stay"]
+__all__ = ["LoadAllowed", "RolloutLimits", "RolloutSystem", "LoadDelayed"]
 
 # Time between announcement and start, in which every other endpoint has asked this one or been
 # asked. Host lists may differ for seconds, but if one of two endpoints lists the other, it asks and
@@ -45,12 +45,12 @@
 
 
 @attrs.frozen
-class Go:
+class LoadAllowed:
     """Load now."""
 
 
 @attrs.frozen
-class Stay:
+class LoadDelayed:
     """Do not load yet."""
 
     reason: str
@@ -79,7 +79,7 @@
         limits: RolloutLimits,
         interrupts: bool,
         now_s: float,
-    ) -> Go | Stay:
+    ) -> LoadAllowed | LoadDelayed:
         """Return whether this endpoint may start to load.
 
         A new version may be due at all 41 engines of a service at once, while others start empty
@@ -102,14 +102,16 @@
         before = [row for row in heard.values() if self._has_precedence(row, interrupts)]
         if len(busy) + len(before) >= limits.parallel_loads:
             ahead = sorted(busy + [row.endpoint_id for row in before])
-            return Stay(f"{limits.parallel_loads} may load at once; ahead: {', '.join(ahead)}")
+            return LoadDelayed(
+                f"{limits.parallel_loads} may load at once; ahead: {', '.join(ahead)}"
+            )
         serving = [row for row in heard.values() if row.serves and row.phase in _SERVING_PHASES]
         kept = len(serving) - sum(row.serves for row in before)
         if interrupts and kept < limits.min_serving:
-            return Stay(f"{kept} others would serve; min_serving is {limits.min_serving}")
+            return LoadDelayed(f"{kept} others would serve; min_serving is {limits.min_serving}")
         if interrupts and now_s - self._intends_since_s < _ANNOUNCE_S:
-            return Stay("announced; waiting for the answers of other endpoints")
-        return Go()
+            return LoadDelayed("announced; waiting for the answers of other endpoints")
+        return LoadAllowed()
 
     def _has_precedence(self, row: OrderRow, interrupts: bool) -> bool:
         """Whether another endpoint is ahead of this one and may start at the same moment."""
--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from beryljunction.systems.recovery.rollout import Go, RolloutLimits, Stay
+from beryljunction.systems.recovery.rollout import LoadAllowed, LoadDelayed, RolloutLimits
 from beryljunction.tables.orders import OrderRow
 from beryljunction.tables.turns import Turn, TurnQueue
 
@@ -65,7 +65,7 @@
     renewed_at: int
 
 
-TurnStep = Go | Stay | TakeTurn | RenewTurn | EndTurn
+TurnStep = LoadAllowed | LoadDelayed | TakeTurn | RenewTurn | EndTurn
 
 
 @attrs.frozen
@@ -88,7 +88,7 @@
         self._own_renewal: _Renewal | None = None
         self._first_own_offset: int | None = None
 
-    def is_near(self, queue: TurnQueue, limits: RolloutLimits) -> bool:
+    def turn_is_due(self, queue: TurnQueue, limits: RolloutLimits) -> bool:
         """Whether this endpoint's turn has come, so that the others must be asked."""
         taken = queue.turn(self._endpoint_id) is not None
         return taken and len(queue.before(self._endpoint_id)) < limits.parallel_loads
@@ -121,13 +121,13 @@
             return self._take_turn(now_s)
         self._take_at_s = None
         if len(before) >= limits.parallel_loads:
-            return Stay(f"{limits.parallel_loads} may load at once; ahead: {_names(before)}")
+            return LoadDelayed(f"{limits.parallel_loads} may load at once; ahead: {_names(before)}")
         if not self.holds(queue, now_s):
             return RenewTurn()
         kept = sum(row.serves and row.endpoint_id not in before for row in answers)
         if not interrupts or kept >= limits.min_serving:
             self._held_back_since_s = None
-            return Go()
+            return LoadAllowed()
         return self._stay_or_yield(own, kept, limits, now_s)
 
     def holds(self, queue: TurnQueue, now_s: float) -> bool:
@@ -160,19 +160,19 @@
         if self._take_at_s is None:
             self._take_at_s = now_s + self._rng.uniform(0.0, _SPREAD_S)
         if now_s < self._take_at_s:
-            return Stay("waiting to take a turn on the log")
+            return LoadDelayed("waiting to take a turn on the log")
         self._take_at_s = now_s + _TAKE_RETRY_S
         return TakeTurn()
 
     def _stay_or_yield(
         self, own: Turn, kept: int, limits: RolloutLimits, now_s: float
-    ) -> Stay | EndTurn:
+    ) -> LoadDelayed | EndTurn:
         if self._held_back_since_s is None:
             self._held_back_since_s = now_s
         if now_s - self._held_back_since_s >= _YIELD_S:
             self._held_back_since_s = None
             return EndTurn(self._endpoint_id, own.renewed_at)
-        return Stay(f"{kept} others would serve; min_serving is {limits.min_serving}")
+        return LoadDelayed(f"{kept} others would serve; min_serving is {limits.min_serving}")
 
     def _abandoned_turn(
         self, before: Mapping[str, Turn], listed: Collection[str], now_s: float
--- a/src/beryljunction/tables/orders.py
+++ b/src/beryljunction/tables/orders.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-__all__ = ["EngineState", "OrderRow", "OrderRowTable", "Phase", "Wanted"]
+__all__ = ["EngineState", "OrderRow", "OrderRowTable", "Phase", "DesiredState"]
 
 
 class Phase(enum.StrEnum):
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class DesiredState:
     """State that the settings demand of an engine.
 
     Attributes:
@@ -62,14 +62,14 @@
         """Whether a load is in progress."""
         return bool(self.loading or self.loading_adapters)
 
-    def serves(self, wanted: Wanted) -> bool:
+    def serves(self, desired: DesiredState) -> bool:
         """Whether every wanted model can be served, possibly in an older version."""
-        return not self.is_loading and wanted.models.keys() <= self.models.keys()
+        return not self.is_loading and desired.models.keys() <= self.models.keys()
 
-    def fulfils(self, wanted: Wanted) -> bool:
+    def fulfils(self, desired: DesiredState) -> bool:
         """Whether the engine's state equals the wanted state."""
         has = (self.models, set(self.adapters), self.role)
-        wants = (wanted.models, set(wanted.adapters), wanted.role)
+        wants = (desired.models, set(desired.adapters), desired.role)
         return not self.is_loading and has == wants
 
     @staticmethod
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -6,7 +6,7 @@
     SettingsTree,
 )
 from beryljunction.settings.publishing import PublishStateMachine
-from beryljunction.systems.recovery.orders import Hold, NeedSlot, OrderSystem
+from beryljunction.systems.recovery.orders import AwaitRollout, NoOrder, OrderSystem
 from settings_world import NODES, Oracle, Peers, covers_as_written
 
 
@@ -67,9 +67,9 @@
 
     def decide(system, wanted, state, now_s):
         if getattr(system, "believed", None) == wanted.fence:
-            return Hold("ordered already")
+            return NoOrder("ordered already")
         step = original(system, wanted, state, now_s)
-        if not state.is_loading and not isinstance(step, NeedSlot):
+        if not state.is_loading and not isinstance(step, AwaitRollout):
             system.believed = wanted.fence
         return step
 
--- a/testing/settings_world.py
+++ b/testing/settings_world.py
@@ -31,7 +31,7 @@
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.standins import EngineOrdersModel, LogModel, LogModelSettings, WeightStoreModel
 from beryljunction.stores import AppendUnknown, LogClient, ReadFailed
-from beryljunction.tables.orders import Wanted
+from beryljunction.tables.orders import DesiredState
 from virtual_time import Scheduler, sleep
 
 NODES = ("entry-0", "entry-1", "drafter-0", "drafter-1")
@@ -332,4 +332,4 @@
         values = self.oracle.values_at[-1]
         version = values["service.drafter.model_version"]
         adapters = tuple(sorted(values.get("service.drafter.adapters", [])))
-        return Wanted({"drafter": version}, adapters, "both", len(self.records))
+        return DesiredState({"drafter": version}, adapters, "both", len(self.records))
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -9,11 +9,11 @@
 from beryljunction.standins import EngineModel, EngineStandIn
 from beryljunction.stops import GracefulStop
 from beryljunction.systems import (
-    Handed,
     HandoverLimits,
     HandoverSystem,
     PlacementQuery,
     PlacementSystem,
+    TransferResult,
     chat_key_of,
     successor_of,
 )
@@ -82,12 +82,14 @@
     @pytest.mark.parametrize(
         ("handed", "times", "may_go"),
         [
-            pytest.param(Handed.TAKEN, 9, True, id="within its bytes"),
-            pytest.param(Handed.TAKEN, 10, False, id="bytes spent"),
-            pytest.param(Handed.DECLINED, 20, True, id="declined costs nothing"),
-            pytest.param(Handed.SUCCESSOR_FAILED, 1, False, id="failed successor is left alone"),
-            pytest.param(Handed.EXPORT_FAILED, 2, True, id="export failed twice"),
-            pytest.param(Handed.EXPORT_FAILED, 3, False, id="engine does not export"),
+            pytest.param(TransferResult.TAKEN, 9, True, id="within its bytes"),
+            pytest.param(TransferResult.TAKEN, 10, False, id="bytes spent"),
+            pytest.param(TransferResult.DECLINED, 20, True, id="declined costs nothing"),
+            pytest.param(
+                TransferResult.SUCCESSOR_FAILED, 1, False, id="failed successor is left alone"
+            ),
+            pytest.param(TransferResult.EXPORT_FAILED, 2, True, id="export failed twice"),
+            pytest.param(TransferResult.EXPORT_FAILED, 3, False, id="engine does not export"),
         ],
     )
     def test_transfers_stop_at_their_limits(self, handed, times, may_go):
@@ -98,7 +100,7 @@
             system.started(transfer)
             system.ended(transfer, handed)
 
-        assert system.may_go(plan[-1]) is may_go
+        assert system.may_start(plan[-1]) is may_go
 
     def test_no_prefix_is_transferred_twice_until_the_endpoint_serves_again(self):
         system = system_of()
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -26,11 +26,11 @@
     WeightStoreModel,
 )
 from beryljunction.standins.orders import answer_engine_orders
-from beryljunction.systems.recovery.orders import Hold, NeedSlot, Order, OrderSystem
-from beryljunction.tables.orders import EngineState, Phase, Wanted
+from beryljunction.systems.recovery.orders import AwaitRollout, NoOrder, Order, OrderSystem
+from beryljunction.tables.orders import DesiredState, EngineState, Phase
 
 TURN_SEEDS = int(os.environ.get("BERYL_FUZZ_TURNS", "10"))
-V2 = Wanted({"drafter": "v2"}, (), "both", 7)
+V2 = DesiredState({"drafter": "v2"}, (), "both", 7)
 
 
 def view(version, model_version, min_serving=3, parallel_loads=8, adapters=()):
@@ -141,13 +141,13 @@
     @pytest.mark.parametrize(
         ("state", "expected"),
         [
-            (EngineState({"drafter": "v2"}, fence=7), Hold),
-            (EngineState({"drafter": "v1"}, fence=9), Hold),
-            (EngineState({}, loading={"drafter": "v2"}), Hold),
+            (EngineState({"drafter": "v2"}, fence=7), NoOrder),
+            (EngineState({"drafter": "v1"}, fence=9), NoOrder),
+            (EngineState({}, loading={"drafter": "v2"}), NoOrder),
             (EngineState({}, loading={"drafter": "v1"}), Order),
             (EngineState({"drafter": "v2", "old": "v1"}), Order),
-            (EngineState({"drafter": "v1"}), NeedSlot),
-            (EngineState({"drafter": "v2"}, role="decode"), NeedSlot),
+            (EngineState({"drafter": "v1"}), AwaitRollout),
+            (EngineState({"drafter": "v2"}, role="decode"), AwaitRollout),
         ],
         ids=["done", "newer-fence", "loading", "loading-old", "extra", "missing", "role"],
     )
@@ -159,7 +159,7 @@
         failed = EngineState({}, failed="no such version")
         tries = []
         for second in range(600):
-            if isinstance(system.decide(V2, failed, float(second)), NeedSlot):
+            if isinstance(system.decide(V2, failed, float(second)), AwaitRollout):
                 tries.append(second)
                 system.ordered(float(second), refused=True)
 
--- a/testing/test_turns.py
+++ b/testing/test_turns.py
@@ -3,7 +3,7 @@
 import pytest
 
 from beryljunction.stores import LogPage, LogRecord
-from beryljunction.systems.recovery.rollout import Go, RolloutLimits, Stay
+from beryljunction.systems.recovery.rollout import LoadAllowed, LoadDelayed, RolloutLimits
 from beryljunction.systems.recovery.turns import EndTurn, RenewTurn, TakeTurn, TurnSystem
 from beryljunction.tables.orders import OrderRow, Phase
 from beryljunction.tables.turns import TurnQueue, end_record, renew_record, take_record
@@ -61,7 +61,7 @@
         renewed = self.decide(system, queue_of(*left, renew_record("a")), 1.0, serving("b"))
         woken = self.decide(system, queue_of(*left, renew_record("a")), 70.0, serving("b"))
 
-        assert (found, renewed, woken) == (RenewTurn(), Go(), RenewTurn())
+        assert (found, renewed, woken) == (RenewTurn(), LoadAllowed(), RenewTurn())
 
     def test_turn_of_another_is_ended_only_if_unlisted_and_not_renewed(self):
         system = TurnSystem("a", random.Random(1))
@@ -75,8 +75,8 @@
         self.decide(system, queue_of(*records), 166.0)
         silent = self.decide(system, queue_of(*records), 260.0)
 
-        assert isinstance(renewed, Stay)
-        assert isinstance(listed, Stay)
+        assert isinstance(renewed, LoadDelayed)
+        assert isinstance(listed, LoadDelayed)
         assert silent == EndTurn("c", 3)
 
     def test_endpoint_that_would_violate_min_serving_moves_to_the_end(self):
@@ -88,7 +88,7 @@
         waits = self.decide(system, queue, 1.0)
         yields = self.decide(system, queue, 12.0)
 
-        assert isinstance(waits, Stay)
+        assert isinstance(waits, LoadDelayed)
         assert yields == EndTurn("a", 2)
 
     def test_takes_of_a_fleet_are_spread_and_repeated_if_unseen(self):
