--- a/src/beryljunction/bench/control.py
+++ b/src/beryljunction/bench/control.py
@@ -13,7 +13,7 @@
 from beryljunction.settings import FollowerSettings
 from beryljunction.settings.rotation import PeerRotation
 from beryljunction.settings.snapshots import SnapshotSchedule
-from beryljunction.systems import LoadSystem
+from beryljunction.systems import LoadTracker
 from beryljunction.wire import encode_rows
 
 __all__ = ["CONTROL_SIZES", "ControlFigures", "ControlSize", "measure_control"]
@@ -118,7 +118,7 @@
 def _load_bytes_per_s(endpoints: int, messages: MessageBytes) -> list[float]:
     """Let the sidecars of one service exchange load; return what each sends and receives."""
     names = [f"reel-llm-{number}" for number in range(endpoints)]
-    loads = {n: LoadSystem(n, "0a1b2c3d4e5f", rng=random.Random(n)) for n in names}
+    loads = {n: LoadTracker(n, "0a1b2c3d4e5f", rng=random.Random(n)) for n in names}
     rotations = {n: PeerRotation(random.Random(n)) for n in names}
     rng = random.Random(1)
     for load in loads.values():
--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -21,7 +21,7 @@
 from beryljunction.sidecar.peers import PeerExchange
 from beryljunction.standins import HostListStandIn, LogStandIn
 from beryljunction.stores import HostRow, HttpHostList, HttpLogClient
-from beryljunction.systems import LoadSystem
+from beryljunction.systems import LoadTracker
 from beryljunction.wire import PEERS_PATH, encode_rows
 
 __all__ = ["MessageBytes", "busy_row", "measure_messages"]
@@ -126,9 +126,9 @@
 
 
 async def _load_head() -> float:
-    load = LoadSystem("reel-llm-1", "0a1b2c3d4e5f", rng=random.Random(1))
+    load = LoadTracker("reel-llm-1", "0a1b2c3d4e5f", rng=random.Random(1))
     other = PeerExchange(
-        LoadSystem("reel-llm-2", "0a1b2c3d4e5f"), client_pool(), _KEY, _version, _ignore
+        LoadTracker("reel-llm-2", "0a1b2c3d4e5f"), client_pool(), _KEY, _version, _ignore
     )
     async with _Counted(_front(PEERS_PATH, other)) as counted:
         exchange = PeerExchange(load, counted.pool, _KEY, _version, _ignore)
--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -13,15 +13,15 @@
 from beryljunction.bench.policy.scenarios import DEADLINE_S, Call, Fault, Scenario, Size
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionRefused,
-    AdmissionSystem,
-    AttemptSystem,
+    ChatDirectory,
+    EndpointSelector,
     ListedEndpoint,
-    LoadSystem,
-    MembershipSystem,
+    LoadTracker,
+    MembershipTracker,
     PlacementQuery,
-    PlacementSystem,
-    PointerSystem,
+    RequestAttempts,
     RetryBudget,
     Step,
     Try,
@@ -54,7 +54,7 @@
     entry: "_Entry"
     sent_s: float = 0.0
     chat_key: int | None = None
-    attempts: AttemptSystem = attrs.field(init=False)
+    attempts: RequestAttempts = attrs.field(init=False)
     try_number: int = 0
     starts: int = 0
     runs: int = 0
@@ -90,10 +90,10 @@
         self.incarnation += 1
         self.since_s = world.now_s
         self.engine = FakeEngine(world.scenario.cache_tokens)
-        load = LoadSystem(self.name, f"{self.incarnation:08x}", rng=random.Random(seed + "/load"))
-        pointers = PointerSystem(self.name)
+        load = LoadTracker(self.name, f"{self.incarnation:08x}", rng=random.Random(seed + "/load"))
+        pointers = ChatDirectory(self.name)
         limits = world.policy.limits()
-        self.admission = AdmissionSystem(limits, load, pointers, random.Random(seed))
+        self.admission = AdmissionController(limits, load, pointers, random.Random(seed))
         self.asked: dict[int, tuple[Asked, int]] = {}
         self._evictions = 0
         self._listed: set[str] = set()
@@ -255,8 +255,8 @@
         self._world = world
         self._zone = f"zone-{number % world.size.zones}"
         self._table = EndpointTable()
-        self._membership = MembershipSystem(self._table)
-        self._placement = PlacementSystem(self._table)
+        self._membership = MembershipTracker(self._table)
+        self._placement = EndpointSelector(self._table)
         self._budget = RetryBudget()
         self._turn = number
         self.hidden: dict[str, float] = {}
@@ -272,7 +272,7 @@
         rows = self._order(self._placement.candidates(query, now_s))
         has_pointers = asked.chat_key is not None
         previous = self._placement.previous_home(rows, now_s) if has_pointers else None
-        asked.attempts = AttemptSystem(rows, self._budget, call.chat is not None, previous)
+        asked.attempts = RequestAttempts(rows, self._budget, call.chat is not None, previous)
         self._do(asked, asked.attempts.first())
 
     def answered(
--- a/src/beryljunction/bench/slopes/state.py
+++ b/src/beryljunction/bench/slopes/state.py
@@ -9,7 +9,7 @@
 from beryljunction.settings import AccountSettings, ResolvedSettings, ServiceSettings
 from beryljunction.settings.paths import parse_path
 from beryljunction.settings.tree import Leaf, SettingsTree
-from beryljunction.systems import TombstoneSystem
+from beryljunction.systems import RequestTombstones
 from beryljunction.tables import (
     ChatPointer,
     ChatTable,
@@ -119,7 +119,7 @@
     role = "sidecar"
 
     def build(self, count: int) -> object:
-        tombstones = TombstoneSystem("drafter-0", "incarnation-0", 0.0)
+        tombstones = RequestTombstones("drafter-0", "incarnation-0", 0.0)
         for i in range(count):
             tombstones.arrive(f"{i:032x}", tombstones.stamp(0.0), 0.0, 0.001 * i)
         return tombstones
--- a/src/beryljunction/bench/ticks.py
+++ b/src/beryljunction/bench/ticks.py
@@ -9,11 +9,11 @@
 
 from beryljunction.loads import LoadRow
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionLimits,
     AdmissionStarted,
-    AdmissionSystem,
-    LoadSystem,
-    PointerSystem,
+    ChatDirectory,
+    LoadTracker,
 )
 from beryljunction.tables import SidecarRequest
 
@@ -68,7 +68,7 @@
 
 
 def _tick_us(chats: int) -> list[float]:
-    admission = AdmissionSystem(_LIMITS, LoadSystem("e0", "a"), PointerSystem("e0"))
+    admission = AdmissionController(_LIMITS, LoadTracker("e0", "a"), ChatDirectory("e0"))
     for chat in range(chats):
         admission.pointers.record_location(chat, "e0", 1_000, 0.0)
     rng = random.Random(1)
--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/orders.py
@@ -13,18 +13,24 @@
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.systems.recovery.orders import (
     AwaitRollout,
+    EngineReconciler,
     NoOrder,
     Order,
-    OrderSystem,
     desired_state_of,
 )
 from beryljunction.systems.recovery.rollout import (
     LoadAllowed,
     LoadDelayed,
+    PeerRolloutPolicy,
     RolloutLimits,
-    RolloutSystem,
 )
-from beryljunction.systems.recovery.turns import EndTurn, RenewTurn, TakeTurn, TurnStep, TurnSystem
+from beryljunction.systems.recovery.turns import (
+    EndTurn,
+    RenewTurn,
+    TakeTurn,
+    TurnRolloutPolicy,
+    TurnStep,
+)
 from beryljunction.tables.orders import DesiredState, EngineState, OrderRow, OrderRowTable, Phase
 
 __all__ = ["OrderRunner", "WorkGate"]
@@ -85,10 +91,10 @@
         self._gate = gate
         self._now_s = now_s
         self._rng = rng if rng is not None else random.Random()
-        self._order_rules = OrderSystem(self._rng)
-        self._rollout_rules = RolloutSystem(endpoint_id)
+        self._order_rules = EngineReconciler(self._rng)
+        self._rollout_rules = PeerRolloutPolicy(endpoint_id)
         self._turns = turns
-        self._turn_rules = TurnSystem(endpoint_id, self._rng)
+        self._turn_rules = TurnRolloutPolicy(endpoint_id, self._rng)
         # An earlier process of this endpoint may have left a turn on the log.
         self._turn_check_until_s = now_s() + _LATE_TURN_S
         self._peer_rows = OrderRowTable()
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -21,7 +21,7 @@
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stops import Stoppable
 from beryljunction.streams import event_position
-from beryljunction.systems import MembershipSystem
+from beryljunction.systems import MembershipTracker
 from beryljunction.tables import EndpointTable
 from beryljunction.timeline import Timeline
 from beryljunction.watches import WatchList
@@ -64,7 +64,7 @@
         self.watches = WatchList()
         self.leaving = False
         self._in_flight = 0
-        self.membership = MembershipSystem(endpoints)
+        self.membership = MembershipTracker(endpoints)
         self._pool = client_pool(tls)
         self._sidecars = SidecarClient(
             self._pool,
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -14,10 +14,10 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import (
-    AttemptSystem,
+    EndpointSelector,
     GiveUp,
     PlacementQuery,
-    PlacementSystem,
+    RequestAttempts,
     RetryBudget,
     Try,
     chat_key_of,
@@ -58,7 +58,7 @@
         self._zone = availability_zone
         self._tries = Tries(sidecars, timeline)
         self._tickets = TicketRouter(endpoints, sidecars, self._tries, fleet_key)
-        self._placement = PlacementSystem(endpoints, region=region)
+        self._placement = EndpointSelector(endpoints, region=region)
         self._budget = RetryBudget()
         self._random = random.Random()
 
@@ -107,17 +107,17 @@
         assert isinstance(step, GiveUp)
         return step.refusal
 
-    def _attempts(self, query: PlacementQuery, envelope: Envelope) -> AttemptSystem:
+    def _attempts(self, query: PlacementQuery, envelope: Envelope) -> RequestAttempts:
         now_s = time.monotonic()
         candidates = self._placement.candidates(query, now_s)
         previous_home = None
         if envelope.chat_key is not None and query.hint is None:
             previous_home = self._placement.previous_home(candidates, now_s)
         home = self._placement.home(query, now_s) if query.hint else None
-        return AttemptSystem(candidates, self._budget, envelope.idempotent, previous_home, home)
+        return RequestAttempts(candidates, self._budget, envelope.idempotent, previous_home, home)
 
     async def _notify_pointer_holders(
-        self, attempts: AttemptSystem, server: Endpoint, envelope: Envelope
+        self, attempts: RequestAttempts, server: Endpoint, envelope: Envelope
     ) -> None:
         """Tell the sidecars that hold a chat's pointer where it was served.
 
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -13,7 +13,7 @@
 from beryljunction.outcomes import Refusal
 from beryljunction.servers import drop_idle
 from beryljunction.streams import StreamName
-from beryljunction.systems import MembershipSystem
+from beryljunction.systems import MembershipTracker
 from beryljunction.tables import Endpoint, Stamp
 from beryljunction.timeline import HLC_HEADER, HybridClock
 from beryljunction.watches import Watch, WatchList
@@ -95,7 +95,7 @@
         watches: WatchList,
         fleet_key: str,
         clock: HybridClock,
-        membership: MembershipSystem,
+        membership: MembershipTracker,
     ) -> None:
         self._pool = pool
         self._watches = watches
--- a/src/beryljunction/entry/uploads.py
+++ b/src/beryljunction/entry/uploads.py
@@ -6,7 +6,7 @@
 from beryljunction.outcomes import RefusalCode
 from beryljunction.servers import Receive, read_body
 from beryljunction.settings import ResolvedSettings
-from beryljunction.systems import Upload, UploadSystem
+from beryljunction.systems import Upload, UploadLimiter
 
 __all__ = ["UPLOAD_RETRY_S", "UploadReader"]
 
@@ -24,7 +24,7 @@
 
     def __init__(self, view: ResolvedSettings) -> None:
         self.view = view
-        self._uploads = UploadSystem(view.limits.upload_bytes)
+        self._uploads = UploadLimiter(view.limits.upload_bytes)
 
     @property
     def held_bytes(self) -> int:
@@ -65,7 +65,7 @@
     """
 
     def __init__(
-        self, uploads: UploadSystem, upload: Upload, receive: Receive, weight: float
+        self, uploads: UploadLimiter, upload: Upload, receive: Receive, weight: float
     ) -> None:
         self.is_full = False
         self._uploads = uploads
--- a/src/beryljunction/fuzz/entries.py
+++ b/src/beryljunction/fuzz/entries.py
@@ -25,12 +25,12 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamName, event_position
 from beryljunction.systems import (
-    AttemptSystem,
+    EndpointSelector,
     GiveUp,
     KeyClaim,
     KeyUnavailable,
     PlacementQuery,
-    PlacementSystem,
+    RequestAttempts,
     RetryBudget,
     Step,
     TicketMint,
@@ -61,7 +61,7 @@
     """
 
     asked: Asked
-    attempts: AttemptSystem | TicketAttempts | None = None
+    attempts: RequestAttempts | TicketAttempts | None = None
     resumed: StreamName | None = None
     after: int = 0
     ignore_pointer: bool = False
@@ -100,7 +100,7 @@
         self._oracle = oracle
         self._mint = mint
         self._is_up = is_up
-        self._placement = PlacementSystem(self.endpoints)
+        self._placement = EndpointSelector(self.endpoints)
         self._budget = RetryBudget()
         self._stamps: dict[str, tuple[Stamp, float]] = {}
         self._open: dict[int, tuple[_Open, str]] = {}
@@ -122,9 +122,9 @@
         if key is None:
             key = zlib.crc32(b"%d" % operation.number)
         candidates = self._placement.candidates(PlacementQuery(SERVICE, key), self._clock())
-        attempts: AttemptSystem | TicketAttempts
+        attempts: RequestAttempts | TicketAttempts
         if operation.kind is Kind.IDEMPOTENT:
-            attempts = AttemptSystem(candidates, self._budget, idempotent=True)
+            attempts = RequestAttempts(candidates, self._budget, idempotent=True)
         else:
             attempts = TicketAttempts(candidates, operation.ticket)
         row = _Open(asked, attempts, homes=candidates)
@@ -332,7 +332,7 @@
         """Tell who keeps a chat's pointer who took the chat."""
         chat_key = row.asked.operation.chat_key
         taker = self.endpoints.get(row.endpoint_id)
-        if chat_key is None or taker is None or not isinstance(row.attempts, AttemptSystem):
+        if chat_key is None or taker is None or not isinstance(row.attempts, RequestAttempts):
             return
         for keeper in row.attempts.pointer_holders(taker):
             moved = MovedCall(chat_key, taker.endpoint_id)
--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -25,28 +25,28 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.streams import DONE, FrameLog, FrameNumberer, StreamName, event_position
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionLimits,
     AdmissionRefused,
-    AdmissionSystem,
     AlreadyRunning,
     Arrival,
+    ChatDirectory,
     ClaimBatch,
     ClaimLimits,
-    ClaimSystem,
+    KeyClaimResolver,
     KeyLost,
     KeyVerdict,
     KeyWon,
     LedgerLimits,
-    LoadSystem,
+    LoadTracker,
     OutcomeAnswer,
-    PointerSystem,
     Replay,
+    RequestTombstones,
     Run,
     TicketClaimRequest,
     TicketLedger,
     TicketMint,
     TombstoneLimits,
-    TombstoneSystem,
     body_digest,
     claim_refusal,
     key_refusal,
@@ -117,12 +117,12 @@
         self._claiming: dict[str, tuple[str, int]] = {}
         self._append: tuple[float, ClaimBatch] | None = None
         self.ledger = TicketLedger(mint, endpoint_id, incarnation, clock(), limits.ledger)
-        self.tombstones = TombstoneSystem(endpoint_id, incarnation, clock(), limits.tombstones)
-        self.claims = ClaimSystem(incarnation, limits.claims)
-        self.admission = AdmissionSystem(
+        self.tombstones = RequestTombstones(endpoint_id, incarnation, clock(), limits.tombstones)
+        self.claims = KeyClaimResolver(incarnation, limits.claims)
+        self.admission = AdmissionController(
             limits.admission,
-            LoadSystem(endpoint_id, incarnation),
-            PointerSystem(endpoint_id),
+            LoadTracker(endpoint_id, incarnation),
+            ChatDirectory(endpoint_id),
             rng=random.Random(0),
         )
 
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -24,7 +24,7 @@
 from beryljunction.sidecar.writers import Writer
 from beryljunction.stops import Stoppable
 from beryljunction.stores import HttpLogClient
-from beryljunction.systems import HandoverLimits, HandoverSystem
+from beryljunction.systems import HandoverLimits, HandoverPlanner
 from beryljunction.tables import Answer, EndpointTable
 from beryljunction.timeline import HLC_HEADER, Timeline
 from beryljunction.wire import (
@@ -149,7 +149,7 @@
 
     def _create_prefix_handover(self) -> PrefixHandover:
         return PrefixHandover(
-            HandoverSystem(self.file.endpoint_id, self.file.service, self.file.process.region),
+            HandoverPlanner(self.file.endpoint_id, self.file.service, self.file.process.region),
             self.admission,
             self.keeper.prefixes,
             self.keeper.kv,
@@ -162,7 +162,7 @@
     def _apply_handover_limits(self) -> None:
         service = self.keeper.service
         self.handover.limit_s = service.handover_s
-        self.handover.system.limits = HandoverLimits(
+        self.handover.planner.limits = HandoverLimits(
             total_bytes=service.handover_bytes,
             token_bytes=service.kv_token_bytes,
             prefill_tokens_per_s=self.admission.limits.prefill_tokens_per_s,
--- a/src/beryljunction/sidecar/handover.py
+++ b/src/beryljunction/sidecar/handover.py
@@ -6,7 +6,7 @@
 import anyio
 import httpcore
 
-from beryljunction.systems import PlacementQuery, PlacementSystem, PointerSystem, successor_of
+from beryljunction.systems import ChatDirectory, EndpointSelector, PlacementQuery, successor_of
 from beryljunction.tables import Endpoint, EndpointTable
 from beryljunction.wire import FLEET_KEY_HEADER, POINTERS_PATH, ChatMoved, PointerList, encode
 
@@ -20,7 +20,7 @@
 
 
 def heirs_of(
-    pointers: PointerSystem, members: EndpointTable, service: str, now_s: float
+    pointers: ChatDirectory, members: EndpointTable, service: str, now_s: float
 ) -> list[tuple[Endpoint, list[ChatMoved]]]:
     """Return the next endpoint of each chat of a leaving endpoint, with the pointers to send it.
 
@@ -29,7 +29,7 @@
     out, since its cache is lost.
     """
     own = members.get(pointers.endpoint_id)
-    placement = PlacementSystem(members, region=own.region if own is not None else "")
+    placement = EndpointSelector(members, region=own.region if own is not None else "")
     by_successor: dict[str, tuple[Endpoint, list[ChatMoved]]] = {}
     for row in pointers.newest_pointers(_MAX_POINTERS):
         if row.endpoint_id == pointers.endpoint_id or members.get(row.endpoint_id) is None:
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -16,18 +16,18 @@
 from beryljunction.sidecar.runs import Run, RunTable
 from beryljunction.streams import FrameLog, StreamName
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionLimits,
     AdmissionRefused,
-    AdmissionSystem,
     AlreadyRunning,
     Arrival,
-    LoadSystem,
+    ChatDirectory,
+    LoadTracker,
     OutcomeAnswer,
-    PointerSystem,
     Replay,
+    RequestTombstones,
     TicketLedger,
     TicketMint,
-    TombstoneSystem,
     claim_refusal,
 )
 from beryljunction.systems import Run as Claimed
@@ -77,11 +77,11 @@
     ) -> None:
         start = (file.endpoint_id, incarnation, boot_time_s())
         self.tickets = TicketLedger(TicketMint(file.process.fleet_key.encode()), *start)
-        self.tombstones = TombstoneSystem(*start)
-        self.admission = AdmissionSystem(
+        self.tombstones = RequestTombstones(*start)
+        self.admission = AdmissionController(
             AdmissionLimits(),
-            LoadSystem(file.endpoint_id, incarnation),
-            PointerSystem(file.endpoint_id),
+            LoadTracker(file.endpoint_id, incarnation),
+            ChatDirectory(file.endpoint_id),
         )
         self.runs = RunTable()
         self.watches = WatchList()
--- a/src/beryljunction/sidecar/keys.py
+++ b/src/beryljunction/sidecar/keys.py
@@ -9,8 +9,8 @@
 from beryljunction.systems import (
     ClaimBatch,
     ClaimLimits,
-    ClaimSystem,
     KeyClaim,
+    KeyClaimResolver,
     KeyUnavailable,
     KeyVerdict,
 )
@@ -34,7 +34,7 @@
     def __init__(self, log: LogClient, shard: int, incarnation: str, limits: ClaimLimits) -> None:
         self._log = log
         self._name = claim_stream(shard)
-        self._system = ClaimSystem(f"{self._name}.{incarnation}", limits)
+        self._resolver = KeyClaimResolver(f"{self._name}.{incarnation}", limits)
         self._waiting: dict[str, anyio.Event] = {}
         self._verdicts: dict[str, KeyVerdict] = {}
         self._last_used_s = 0.0
@@ -43,7 +43,7 @@
     async def settle(self, request_id: str, claim: KeyClaim) -> KeyVerdict:
         """Return the verdict on a claim once its position in the log is known."""
         self._last_used_s = boot_time_s()
-        verdict = self._system.submit(request_id, claim, self._last_used_s)
+        verdict = self._resolver.submit(request_id, claim, self._last_used_s)
         if verdict is not None:
             return verdict
         event = self._waiting[request_id] = anyio.Event()
@@ -58,27 +58,27 @@
         """Append and read claims until none has been made for `_FOLLOW_IDLE_S`."""
         while self._waiting or boot_time_s() - self._last_used_s < _FOLLOW_IDLE_S:
             async with anyio.create_task_group() as group:
-                batch = self._system.next_batch(boot_time_s())
+                batch = self._resolver.next_batch(boot_time_s())
                 if batch is not None:
                     group.start_soon(self._append, batch)
                 await self._read()
-            for request_id, verdict in self._system.tick(boot_time_s()):
+            for request_id, verdict in self._resolver.tick(boot_time_s()):
                 self._resolve(request_id, verdict)
         self.following = False
 
     async def _append(self, batch: ClaimBatch) -> None:
         outcome = await self._log.append(self._name, batch.batch_id, batch.to_record())
-        self._system.append_ended(batch, isinstance(outcome, Appended), boot_time_s())
+        self._resolver.append_ended(batch, isinstance(outcome, Appended), boot_time_s())
 
     async def _read(self) -> None:
-        after = self._system.next_offset - 1 if self._system.next_offset else 0
+        after = self._resolver.next_offset - 1 if self._resolver.next_offset else 0
         page = await self._log.read(self._name, after, wait_s=_READ_POLL_S)
         if not isinstance(page, LogPage):
-            self._system.log_failed(boot_time_s())
+            self._resolver.log_failed(boot_time_s())
             await anyio.sleep(_READ_RETRY_S)
             return
         for record in page.records:
-            self._system.apply(record.offset, record.data, boot_time_s())
+            self._resolver.apply(record.offset, record.data, boot_time_s())
 
     def _resolve(self, request_id: str, verdict: KeyVerdict) -> None:
         event = self._waiting.get(request_id)
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -15,7 +15,7 @@
 
 from beryljunction.servers import Receive, Scope, Send, read_body, respond
 from beryljunction.settings.rotation import PeerRotation
-from beryljunction.systems import LoadSystem
+from beryljunction.systems import LoadTracker
 from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_rows, encode_rows
 
 __all__ = ["PeerExchange"]
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        load: LoadSystem,
+        load: LoadTracker,
         pool: httpcore.AsyncConnectionPool,
         fleet_key: str,
         settings_version: Callable[[], int],
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -11,8 +11,8 @@
 from beryljunction.sidecar.calls import Call
 from beryljunction.sidecar.kv import KvClient
 from beryljunction.systems import (
-    AdmissionSystem,
-    HandoverSystem,
+    AdmissionController,
+    HandoverPlanner,
     Transfer,
     TransferResult,
     wants_prefix,
@@ -57,8 +57,8 @@
 
     def __init__(
         self,
-        system: HandoverSystem,
-        admission: AdmissionSystem,
+        planner: HandoverPlanner,
+        admission: AdmissionController,
         prefixes: PrefixTable,
         kv: KvClient,
         pool: httpcore.AsyncConnectionPool,
@@ -67,7 +67,7 @@
         timeline: Timeline,
     ) -> None:
         self.limit_s = 0.0
-        self.system = system
+        self.planner = planner
         self._admission = admission
         self._prefixes = prefixes
         self._kv = kv
@@ -84,7 +84,7 @@
                 await self._transfer_all()
                 await anyio.sleep(_PASS_INTERVAL_S)
             else:
-                self.system.reset()
+                self.planner.reset()
                 await anyio.sleep(_LEAVING_POLL_S)
 
     async def finish(self) -> None:
@@ -97,7 +97,7 @@
             return
         async with self._lock:
             busy = {work.chat_key for work in self._admission.requests if work.chat_key is not None}
-            plan = self.system.plan(self._prefixes, busy, self._members(), time.monotonic())
+            plan = self.planner.plan(self._prefixes, busy, self._members(), time.monotonic())
             counts: collections.Counter[TransferResult] = collections.Counter()
             try:
                 async with anyio.create_task_group() as group:
@@ -115,16 +115,16 @@
         for transfer in transfers:
             if not self._admission.leaving or self._admission.requests.waiting_count:
                 return
-            if self.system.may_start(transfer):
+            if self.planner.may_start(transfer):
                 counts[await self._transfer(transfer)] += 1
             else:
-                self.system.skipped(transfer)
+                self.planner.skipped(transfer)
                 await anyio.lowlevel.checkpoint()
 
     async def _transfer(self, transfer: Transfer) -> TransferResult:
         """Transfer one prefix within its time limit; a failure costs its chat one cold prefill."""
         result = TransferResult.EXPORT_FAILED
-        self.system.started(transfer)
+        self.planner.started(transfer)
         with anyio.move_on_after(transfer.limit_s):
             exported = await self._kv.export(transfer.chat_id)
             if exported is not None and exported.tokens == 0:
@@ -133,7 +133,7 @@
                 # A timeout from here on counts as a failure of the successor.
                 result = TransferResult.SUCCESSOR_FAILED
                 result = await self._offer(transfer, exported.description)
-        self.system.ended(transfer, result)
+        self.planner.ended(transfer, result)
         return result
 
     async def _offer(self, transfer: Transfer, description: str) -> TransferResult:
@@ -161,7 +161,7 @@
     prefix.
     """
 
-    def __init__(self, admission: AdmissionSystem, prefixes: PrefixTable, kv: KvClient) -> None:
+    def __init__(self, admission: AdmissionController, prefixes: PrefixTable, kv: KvClient) -> None:
         self._admission = admission
         self._prefixes = prefixes
         self._kv = kv
--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -2,7 +2,7 @@
 
 from beryljunction.systems.recovery.handover import (
     HandoverLimits,
-    HandoverSystem,
+    HandoverPlanner,
     Transfer,
     TransferResult,
     successor_of,
@@ -11,29 +11,29 @@
 from beryljunction.systems.recovery.membership import (
     ListedEndpoint,
     MembershipLimits,
-    MembershipSystem,
+    MembershipTracker,
 )
 from beryljunction.systems.requests.admission import (
     Admission,
+    AdmissionController,
     AdmissionLimits,
     AdmissionQueued,
     AdmissionRefused,
     AdmissionStarted,
-    AdmissionSystem,
 )
-from beryljunction.systems.requests.attempts import AttemptSystem, GiveUp, Step, Try
-from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadSystem, SpeedMeter
+from beryljunction.systems.requests.attempts import GiveUp, RequestAttempts, Step, Try
+from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadTracker, SpeedMeter
 from beryljunction.systems.requests.placement import (
+    EndpointSelector,
     PlacementQuery,
-    PlacementSystem,
     chat_key_of,
     rendezvous_score,
 )
 from beryljunction.systems.requests.queueing import FairQueue
 from beryljunction.systems.requests.rates import DrainMeter
 from beryljunction.systems.requests.retries import RetryBudget
-from beryljunction.systems.requests.uploads import Upload, UploadSystem
-from beryljunction.systems.state.claims import ClaimLimits, ClaimSystem
+from beryljunction.systems.requests.uploads import Upload, UploadLimiter
+from beryljunction.systems.state.claims import ClaimLimits, KeyClaimResolver
 from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.systems.state.key_claims import (
     ClaimBatch,
@@ -47,7 +47,7 @@
     key_digest,
     key_refusal,
 )
-from beryljunction.systems.state.pointers import PointerSystem
+from beryljunction.systems.state.pointers import ChatDirectory
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
     Expired,
@@ -70,24 +70,24 @@
 from beryljunction.systems.state.tombstones import (
     Arrival,
     OutcomeAnswer,
+    RequestTombstones,
     TombstoneLimits,
-    TombstoneSystem,
 )
 
 __all__ = [
     "Admission",
     "AdmissionLimits",
-    "AdmissionSystem",
+    "AdmissionController",
     "AlreadyRunning",
     "Arrival",
     "TicketClaimRequest",
     "OutcomeAnswer",
-    "AttemptSystem",
+    "RequestAttempts",
     "TicketRetired",
     "TicketClaimResult",
     "ClaimBatch",
     "ClaimLimits",
-    "ClaimSystem",
+    "KeyClaimResolver",
     "DrainMeter",
     "Expired",
     "Failed",
@@ -97,7 +97,7 @@
     "GiveUp",
     "TransferResult",
     "HandoverLimits",
-    "HandoverSystem",
+    "HandoverPlanner",
     "Invalid",
     "KeyClaim",
     "KeyLost",
@@ -109,13 +109,13 @@
     "ListedEndpoint",
     "LoadBound",
     "LoadLimits",
-    "LoadSystem",
+    "LoadTracker",
     "MembershipLimits",
-    "MembershipSystem",
+    "MembershipTracker",
     "Mismatch",
     "PlacementQuery",
-    "PlacementSystem",
-    "PointerSystem",
+    "EndpointSelector",
+    "ChatDirectory",
     "AdmissionRefused",
     "Replay",
     "RetryBudget",
@@ -126,13 +126,13 @@
     "TicketLedger",
     "TicketMint",
     "TombstoneLimits",
-    "TombstoneSystem",
+    "RequestTombstones",
     "Transfer",
     "Try",
     "Unstamped",
     "Unverified",
     "Upload",
-    "UploadSystem",
+    "UploadLimiter",
     "AdmissionQueued",
     "IssueValidity",
     "WrongIncarnation",
--- a/src/beryljunction/systems/recovery/handover.py
+++ b/src/beryljunction/systems/recovery/handover.py
@@ -5,12 +5,12 @@
 
 import attrs
 
-from beryljunction.systems.requests.placement import PlacementQuery, PlacementSystem
+from beryljunction.systems.requests.placement import EndpointSelector, PlacementQuery
 from beryljunction.tables import ChatPointer, Endpoint, EndpointTable, PrefixTable
 
 __all__ = [
     "HandoverLimits",
-    "HandoverSystem",
+    "HandoverPlanner",
     "TransferResult",
     "Transfer",
     "successor_of",
@@ -80,7 +80,7 @@
     limit_s: float
 
 
-class HandoverSystem:
+class HandoverPlanner:
     """Decides which prefixes a leaving endpoint transfers, and when it stops.
 
     When an endpoint is drained or replaced (130 per day at the target), all its chats move to their
@@ -117,7 +117,7 @@
         This is a generator because placing thousands of chats in one step would delay the answers
         in flight.
         """
-        placement = PlacementSystem(members, region=self._region)
+        placement = EndpointSelector(members, region=self._region)
         for row in prefixes.newest_first():
             if now_s - row.used_s > self.limits.hot_s:
                 return
@@ -172,7 +172,7 @@
 
 
 def successor_of(
-    placement: PlacementSystem, query: PlacementQuery, leaving_id: str, now_s: float
+    placement: EndpointSelector, query: PlacementQuery, leaving_id: str, now_s: float
 ) -> Endpoint | None:
     """Return the endpoint that is tried first for a chat once another one has left."""
     candidates = placement.candidates(query, now_s)
--- a/src/beryljunction/systems/recovery/membership.py
+++ b/src/beryljunction/systems/recovery/membership.py
@@ -6,7 +6,7 @@
 
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 
-__all__ = ["ListedEndpoint", "MembershipLimits", "MembershipSystem"]
+__all__ = ["ListedEndpoint", "MembershipLimits", "MembershipTracker"]
 
 
 @attrs.frozen
@@ -61,7 +61,7 @@
     left_incarnation: str | None = None
 
 
-class MembershipSystem:
+class MembershipTracker:
     """Sets the states in the endpoint table from the list and own observations.
 
     The evidence, strongest first: the sidecar's own message that it leaves, "leaving" in the list,
--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -7,7 +7,7 @@
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.tables.orders import DesiredState, EngineState
 
-__all__ = ["NoOrder", "AwaitRollout", "Order", "OrderStep", "OrderSystem", "desired_state_of"]
+__all__ = ["NoOrder", "AwaitRollout", "Order", "OrderStep", "EngineReconciler", "desired_state_of"]
 
 _MIN_RETRY_S = 2.0
 _MAX_RETRY_S = 120.0
@@ -56,7 +56,7 @@
     return DesiredState(models, tuple(sorted(settings.adapters)), settings.role, view.version)
 
 
-class OrderSystem:
+class EngineReconciler:
     """Compares an engine's state with the wanted state and decides the next order.
 
     It does not rely on earlier orders: after a lost answer, a paused or replaced sidecar, or an
--- a/src/beryljunction/systems/recovery/rollout.py
+++ b/src/beryljunction/systems/recovery/rollout.py
@@ -14,7 +14,7 @@
 
 from beryljunction.tables.orders import OrderRow, Phase
 
-__all__ = ["LoadAllowed", "RolloutLimits", "RolloutSystem", "LoadDelayed"]
+__all__ = ["LoadAllowed", "RolloutLimits", "PeerRolloutPolicy", "LoadDelayed"]
 
 # Time between announcement and start, in which every other endpoint has asked this one or been
 # asked. Host lists may differ for seconds, but if one of two endpoints lists the other, it asks and
@@ -56,7 +56,7 @@
     reason: str
 
 
-class RolloutSystem:
+class PeerRolloutPolicy:
     """Decides for one endpoint from the last answers of the others."""
 
     def __init__(self, endpoint_id: str) -> None:
--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -23,7 +23,7 @@
 from beryljunction.tables.orders import OrderRow
 from beryljunction.tables.turns import Turn, TurnQueue
 
-__all__ = ["EndTurn", "RenewTurn", "TakeTurn", "TurnStep", "TurnSystem"]
+__all__ = ["EndTurn", "RenewTurn", "TakeTurn", "TurnStep", "TurnRolloutPolicy"]
 
 # A new version for all 700 endpoints causes at least three appends for each, and the log accepts
 # several hundred per second, including operators' changes and key claims. So takes are spread over
@@ -76,7 +76,7 @@
     seen_s: float
 
 
-class TurnSystem:
+class TurnRolloutPolicy:
     """Decides for one endpoint from the turn queue and the answers of the others."""
 
     def __init__(self, endpoint_id: str, rng: random.Random) -> None:
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -13,16 +13,16 @@
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.settings.schema import ServiceSettings
-from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadSystem
+from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadTracker
 from beryljunction.systems.requests.queueing import FairQueue
 from beryljunction.systems.requests.rates import DrainMeter
-from beryljunction.systems.state.pointers import PointerSystem
+from beryljunction.systems.state.pointers import ChatDirectory
 from beryljunction.tables import AccountQueue, RequestTable, SidecarRequest
 
 __all__ = [
     "Admission",
     "AdmissionLimits",
-    "AdmissionSystem",
+    "AdmissionController",
     "AdmissionRefused",
     "AdmissionStarted",
     "AdmissionQueued",
@@ -105,7 +105,7 @@
 Admission = AdmissionStarted | AdmissionQueued | AdmissionRefused
 
 
-class AdmissionSystem:
+class AdmissionController:
     """Admits, queues, starts and refuses the requests of one endpoint.
 
     Attributes:
@@ -119,14 +119,14 @@
     def __init__(
         self,
         limits: AdmissionLimits,
-        load: LoadSystem | None = None,
-        pointers: PointerSystem | None = None,
+        load: LoadTracker | None = None,
+        pointers: ChatDirectory | None = None,
         rng: random.Random | None = None,
     ) -> None:
         self.requests = RequestTable()
         self.queue = FairQueue(self.requests, limits.quantum_tokens)
-        self.load = load if load is not None else LoadSystem()
-        self.pointers = pointers if pointers is not None else PointerSystem()
+        self.load = load if load is not None else LoadTracker()
+        self.pointers = pointers if pointers is not None else ChatDirectory()
         self.weights: dict[str, float] = {}
         self.max_waiting_by_account: dict[str, int] = {}
         self.leaving = False
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -9,7 +9,7 @@
 from beryljunction.systems.requests.retries import RetryBudget
 from beryljunction.tables import Endpoint, EndpointState
 
-__all__ = ["AttemptSystem", "GiveUp", "Step", "Try"]
+__all__ = ["RequestAttempts", "GiveUp", "Step", "Try"]
 
 _MAX_SPILLS = 3
 _MAX_FAILOVERS = 3
@@ -47,7 +47,7 @@
 Step = Try | GiveUp
 
 
-class AttemptSystem:
+class RequestAttempts:
     """Chooses the candidate for each try of one request.
 
     Attributes:
--- a/src/beryljunction/systems/requests/load.py
+++ b/src/beryljunction/systems/requests/load.py
@@ -14,7 +14,7 @@
 from beryljunction.loads import LoadRow
 from beryljunction.tables import PeerLoad, PeerTable
 
-__all__ = ["LoadBound", "LoadLimits", "LoadSystem", "SpeedMeter"]
+__all__ = ["LoadBound", "LoadLimits", "LoadTracker", "SpeedMeter"]
 
 _MESSAGE_BYTES = 300
 _ROW_BYTES = 48
@@ -135,7 +135,7 @@
     return tokens_per_s / usual_tokens_per_s
 
 
-class LoadSystem:
+class LoadTracker:
     """Stores the peers' load rows, selects rows to send and computes the load bound."""
 
     def __init__(
--- a/src/beryljunction/systems/requests/placement.py
+++ b/src/beryljunction/systems/requests/placement.py
@@ -11,7 +11,7 @@
 
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 
-__all__ = ["PlacementQuery", "PlacementSystem", "chat_key_of", "rendezvous_score"]
+__all__ = ["PlacementQuery", "EndpointSelector", "chat_key_of", "rendezvous_score"]
 
 _HASH_RANGE = float(2**64)
 _DEFAULT_YOUNG_S = 60.0
@@ -48,7 +48,7 @@
     hint: str | None = None
 
 
-class PlacementSystem:
+class EndpointSelector:
     """Orders the endpoints of a service for one request.
 
     Args:
--- a/src/beryljunction/systems/requests/uploads.py
+++ b/src/beryljunction/systems/requests/uploads.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-__all__ = ["Upload", "UploadSystem"]
+__all__ = ["Upload", "UploadLimiter"]
 
 
 @attrs.define(eq=False)
@@ -19,7 +19,7 @@
     received_bytes: int = 0
 
 
-class UploadSystem:
+class UploadLimiter:
     """Admits request bodies before they are read.
 
     Without a total limit, many concurrent long bodies or thousands of slow uploads would exhaust
--- a/src/beryljunction/systems/state/claims.py
+++ b/src/beryljunction/systems/state/claims.py
@@ -27,7 +27,7 @@
     claims_of,
 )
 
-__all__ = ["ClaimLimits", "ClaimSystem"]
+__all__ = ["ClaimLimits", "KeyClaimResolver"]
 
 _LIFE_RETENTION_RATIO = 0.5
 
@@ -76,7 +76,7 @@
     give_up_s: float
 
 
-class ClaimSystem:
+class KeyClaimResolver:
     """Appends claims to one stream of the log in batches and derives verdicts from its records.
 
     Verdicts come only from records that were read. So a lost answer to an append needs no special
--- a/src/beryljunction/systems/state/pointers.py
+++ b/src/beryljunction/systems/state/pointers.py
@@ -4,12 +4,12 @@
 
 from beryljunction.tables import ChatPointer, ChatTable
 
-__all__ = ["PointerSystem"]
+__all__ = ["ChatDirectory"]
 
 _DEFAULT_LIFE_S = 14_400.0
 
 
-class PointerSystem:
+class ChatDirectory:
     """Tracks which endpoint served each chat last, here or elsewhere.
 
     A chat may run at another endpoint while its home is over its bound. Without a pointer it would
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -12,7 +12,7 @@
 from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
 from beryljunction.tables import Stamp
 
-__all__ = ["Arrival", "OutcomeAnswer", "TombstoneLimits", "TombstoneSystem"]
+__all__ = ["Arrival", "OutcomeAnswer", "TombstoneLimits", "RequestTombstones"]
 
 
 class Arrival(enum.StrEnum):
@@ -56,7 +56,7 @@
     max_rows: int = 16_384
 
 
-class TombstoneSystem:
+class RequestTombstones:
     """Stores request ids; a request that is older than the stored ones is refused.
 
     The age of a request comes from its stamp, which the entry copied from this sidecar, so no wall
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -6,7 +6,7 @@
     SettingsTree,
 )
 from beryljunction.settings.publishing import PublishStateMachine
-from beryljunction.systems.recovery.orders import AwaitRollout, NoOrder, OrderSystem
+from beryljunction.systems.recovery.orders import AwaitRollout, EngineReconciler, NoOrder
 from settings_world import NODES, Oracle, Peers, covers_as_written
 
 
@@ -73,5 +73,5 @@
             system.believed = wanted.fence
         return step
 
-    original = OrderSystem.decide
-    monkeypatch.setattr(OrderSystem, "decide", decide)
+    original = EngineReconciler.decide
+    monkeypatch.setattr(EngineReconciler, "decide", decide)
--- a/testing/test_account_settings.py
+++ b/testing/test_account_settings.py
@@ -5,10 +5,10 @@
 
 from beryljunction.settings import ServiceSettings
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionLimits,
     AdmissionQueued,
     AdmissionRefused,
-    AdmissionSystem,
 )
 from beryljunction.tables import SidecarRequest
 from path_fakes import AUTH, OTHER_KEY, ScriptedEngine, chat, error_of, path_of, view_with
@@ -81,11 +81,13 @@
 class TestWaiting:
     def test_queue_of_an_account_is_limited_by_its_own_limit(self):
         limits = AdmissionLimits(max_running=1, max_waiting_per_account=64)
-        system = AdmissionSystem(limits)
-        system.max_waiting_by_account = {"jury": 1}
+        controller = AdmissionController(limits)
+        controller.max_waiting_by_account = {"jury": 1}
 
         decisions = [
-            system.offer(SidecarRequest(f"{account}-{i}", account, 0.0, 9.0, last_resort=True), 0.0)
+            controller.offer(
+                SidecarRequest(f"{account}-{i}", account, 0.0, 9.0, last_resort=True), 0.0
+            )
             for account in ("jury", "other")
             for i in range(2)
         ]
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -6,25 +6,27 @@
 from beryljunction.loads import LoadRow
 from beryljunction.outcomes import Ran, RefusalCode
 from beryljunction.systems import (
+    AdmissionController,
     AdmissionLimits,
     AdmissionQueued,
     AdmissionRefused,
     AdmissionStarted,
-    AdmissionSystem,
-    LoadSystem,
-    PointerSystem,
+    ChatDirectory,
+    LoadTracker,
 )
 from beryljunction.tables import SidecarRequest
 
 
-def admission(peer_running: int | None = None, **limits) -> AdmissionSystem:
+def admission(peer_running: int | None = None, **limits) -> AdmissionController:
     values = {"max_running": 16, "quantum_tokens": 1_000, "reserve_share": 0.0, **limits}
-    system = AdmissionSystem(
-        AdmissionLimits(**values), LoadSystem("e0", "a"), PointerSystem("e0"), random.Random(1)
+    controller = AdmissionController(
+        AdmissionLimits(**values), LoadTracker("e0", "a"), ChatDirectory("e0"), random.Random(1)
     )
     if peer_running is not None:
-        system.load.merge([LoadRow(f"e{i}", "a", 1, peer_running, 0, 9_999) for i in (1, 2)], 0.0)
-    return system
+        controller.load.merge(
+            [LoadRow(f"e{i}", "a", 1, peer_running, 0, 9_999) for i in (1, 2)], 0.0
+        )
+    return controller
 
 
 def work(number: int, account: str = "a", now_s: float = 0.0, **fields) -> SidecarRequest:
@@ -32,26 +34,26 @@
     return SidecarRequest(f"r{number}", account, now_s, **values)
 
 
-def started(system: AdmissionSystem, now_s: float) -> list[str]:
-    return [d.request_id for d in system.tick(now_s) if isinstance(d, AdmissionStarted)]
+def started(controller: AdmissionController, now_s: float) -> list[str]:
+    return [d.request_id for d in controller.tick(now_s) if isinstance(d, AdmissionStarted)]
 
 
 class TestOffer:
     def test_admitted_request_starts_even_if_the_tick_is_late(self):
         # A busy event loop ticks some milliseconds after the offer. A request with no time to wait
         # would be refused although there is room, and would needlessly try the next endpoint.
-        system = admission()
+        controller = admission()
 
-        assert isinstance(system.offer(work(1), 0.0), AdmissionQueued)
-        assert started(system, 0.05) == ["r1"]
+        assert isinstance(controller.offer(work(1), 0.0), AdmissionQueued)
+        assert started(controller, 0.05) == ["r1"]
 
     def test_cold_request_above_the_bound_is_refused_at_once(self):
-        system = admission(peer_running=4)
+        controller = admission(peer_running=4)
         for i in range(4):
-            system.offer(work(i), 0.0)
-        system.tick(0.0)
+            controller.offer(work(i), 0.0)
+        controller.tick(0.0)
 
-        decision = system.offer(work(9), 0.0)
+        decision = controller.offer(work(9), 0.0)
 
         assert isinstance(decision, AdmissionRefused)
         assert decision.refusal.code is RefusalCode.OVERLOADED
@@ -61,42 +63,42 @@
     def test_cold_request_is_refused_from_a_tenth_below_the_mean_and_a_warm_one_admitted(self):
         # The bound is 1.25 times a mean of 10, and 9 requests run. The cold request is refused, so
         # that its slot stays free for a chat whose prefix is cached here.
-        system = admission(peer_running=10)
-        system.pointers.record_location(7, "e0", 10_000, 0.0)
+        controller = admission(peer_running=10)
+        controller.pointers.record_location(7, "e0", 10_000, 0.0)
         for i in range(9):
-            system.offer(work(i, last_resort=True), 0.0)
-        system.tick(0.0)
+            controller.offer(work(i, last_resort=True), 0.0)
+        controller.tick(0.0)
 
-        assert isinstance(system.offer(work(8), 0.0), AdmissionRefused)
+        assert isinstance(controller.offer(work(8), 0.0), AdmissionRefused)
         assert isinstance(
-            system.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0), AdmissionQueued
+            controller.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0), AdmissionQueued
         )
-        assert "r9" in started(system, 0.0)
+        assert "r9" in started(controller, 0.0)
 
     def test_warm_request_waits_no_longer_than_the_prefill_that_it_saves(self):
-        system = admission(peer_running=4)
-        system.pointers.record_location(7, "e0", 10_000, 0.0)
+        controller = admission(peer_running=4)
+        controller.pointers.record_location(7, "e0", 10_000, 0.0)
         for i in range(8):
-            system.offer(work(i, last_resort=True), 0.0)
-        system.tick(0.0)
+            controller.offer(work(i, last_resort=True), 0.0)
+        controller.tick(0.0)
 
-        decision = system.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0)
+        decision = controller.offer(work(9, chat_key=7, prompt_tokens=10_000), 0.0)
 
         assert isinstance(decision, AdmissionQueued)
-        assert [d for d in system.tick(0.49) if d.request_id == "r9"] == []
-        [refused] = [d for d in system.tick(0.51) if d.request_id == "r9"]
+        assert [d for d in controller.tick(0.49) if d.request_id == "r9"] == []
+        [refused] = [d for d in controller.tick(0.51) if d.request_id == "r9"]
         assert refused.refusal.code is RefusalCode.OVERLOADED
 
     def test_chat_that_moved_is_refused_with_a_pointer_unless_it_is_ignored(self):
-        system = admission()
-        system.pointers.record_location(7, "e2", 100, 0.0)
+        controller = admission()
+        controller.pointers.record_location(7, "e2", 100, 0.0)
 
-        decision = system.offer(work(1, chat_key=7), 0.0)
+        decision = controller.offer(work(1, chat_key=7), 0.0)
 
         assert decision.refusal.code is RefusalCode.CHAT_MOVED
         assert decision.refusal.pointer == "e2"
         assert isinstance(
-            system.offer(work(2, chat_key=7, ignore_pointer=True), 0.0), AdmissionQueued
+            controller.offer(work(2, chat_key=7, ignore_pointer=True), 0.0), AdmissionQueued
         )
 
     def test_only_if_warm_is_refused_where_the_chat_is_not_cached(self):
@@ -105,44 +107,46 @@
         assert decision.refusal.code is RefusalCode.NOT_WARM
 
     def test_leaving_endpoint_refuses_new_requests_and_serves_waiting_ones(self):
-        system = admission(max_running=1)
-        system.offer(work(1, last_resort=True), 0.0)
-        system.offer(work(2, last_resort=True), 0.0)
-        system.tick(0.0)
+        controller = admission(max_running=1)
+        controller.offer(work(1, last_resort=True), 0.0)
+        controller.offer(work(2, last_resort=True), 0.0)
+        controller.tick(0.0)
 
-        system.leaving = True
+        controller.leaving = True
 
-        assert system.offer(work(3), 0.0).refusal.code is RefusalCode.LEAVING
-        system.finish("r1")
-        assert started(system, 1.0) == ["r2"]
+        assert controller.offer(work(3), 0.0).refusal.code is RefusalCode.LEAVING
+        controller.finish("r1")
+        assert started(controller, 1.0) == ["r2"]
 
 
 class TestCancelled:
     def test_request_that_is_offered_again_may_wait_its_full_time(self):
         # The entry cancels a waiting request and offers it again as the last resort. The expiry of
         # the first wait must not end the second one.
-        system = admission(max_running=1)
-        system.offer(work(1, last_resort=True), 0.0)
-        system.tick(0.0)
-        system.offer(work(2, last_resort=True, deadline_s=2.0), 0.0)
-        system.finish("r2")
-        system.offer(work(2, last_resort=True, now_s=1.0, deadline_s=30.0), 1.0)
+        controller = admission(max_running=1)
+        controller.offer(work(1, last_resort=True), 0.0)
+        controller.tick(0.0)
+        controller.offer(work(2, last_resort=True, deadline_s=2.0), 0.0)
+        controller.finish("r2")
+        controller.offer(work(2, last_resort=True, now_s=1.0, deadline_s=30.0), 1.0)
 
-        assert system.tick(5.0) == []
-        system.finish("r1")
-        assert started(system, 5.0) == ["r2"]
+        assert controller.tick(5.0) == []
+        controller.finish("r1")
+        assert started(controller, 5.0) == ["r2"]
 
 
 class TestSaturation:
-    def fill(self, system: AdmissionSystem, count: int, now_s: float) -> list[AdmissionRefused]:
+    def fill(
+        self, controller: AdmissionController, count: int, now_s: float
+    ) -> list[AdmissionRefused]:
         offers = [work(i, now_s=now_s, last_resort=True) for i in range(count)]
-        decisions = [system.offer(offer, now_s) for offer in offers]
+        decisions = [controller.offer(offer, now_s) for offer in offers]
         return [decision for decision in decisions if isinstance(decision, AdmissionRefused)]
 
     def test_queue_of_an_account_is_bounded_and_the_refusal_has_a_retry_delay(self):
-        system = admission(max_waiting_per_account=10)
+        controller = admission(max_waiting_per_account=10)
 
-        refused = self.fill(system, 30, 0.0)
+        refused = self.fill(controller, 30, 0.0)
 
         assert len(refused) == 20
         assert {r.refusal.code for r in refused} == {RefusalCode.QUEUE_FULL}
@@ -153,26 +157,26 @@
     def test_request_whose_wait_would_exceed_its_deadline_is_refused_at_once(self):
         # The engine starts one request of 100 tokens per second, so a queue of five takes the whole
         # deadline. A sixth request would be refused only after five seconds.
-        system = admission(max_running=1)
+        controller = admission(max_running=1)
         for second in range(20):
-            system.offer(work(100 + second, now_s=second, last_resort=True), second)
-            started(system, second)
-            system.finish(f"r{100 + second}")
-        system.offer(work(0, now_s=20.0, last_resort=True), 20.0)
-        system.tick(20.0)
+            controller.offer(work(100 + second, now_s=second, last_resort=True), second)
+            started(controller, second)
+            controller.finish(f"r{100 + second}")
+        controller.offer(work(0, now_s=20.0, last_resort=True), 20.0)
+        controller.tick(20.0)
 
-        refused = self.fill(system, 12, 20.0)
+        refused = self.fill(controller, 12, 20.0)
 
         assert 5 <= len(refused) <= 10
 
     def test_no_request_starts_too_late_for_its_deadline(self):
-        system = admission(max_running=1)
-        system.offer(work(1, last_resort=True), 0.0)
-        system.tick(0.0)
-        system.offer(work(2, last_resort=True, prompt_tokens=20_000), 0.0)
-        system.finish("r1")
+        controller = admission(max_running=1)
+        controller.offer(work(1, last_resort=True), 0.0)
+        controller.tick(0.0)
+        controller.offer(work(2, last_resort=True, prompt_tokens=20_000), 0.0)
+        controller.finish("r1")
 
-        [decision] = system.tick(4.0)
+        [decision] = controller.tick(4.0)
 
         assert decision.refusal.code is RefusalCode.DEADLINE
         assert decision.refusal.ran is Ran.NO
@@ -182,58 +186,58 @@
     def test_surging_account_does_not_delay_a_small_one(self):
         # One account sends 60 requests, then another sends one, which would wait behind all of them
         # in a single queue.
-        system = admission(max_running=4, max_waiting_per_account=60, reserve_share=0.25)
+        controller = admission(max_running=4, max_waiting_per_account=60, reserve_share=0.25)
         for i in range(60):
-            system.offer(work(i, "large", last_resort=True), 0.0)
-        first = started(system, 0.0)
-        system.finish(first[0])
-        system.offer(work(99, "small", 1.0, last_resort=True), 1.0)
+            controller.offer(work(i, "large", last_resort=True), 0.0)
+        first = started(controller, 0.0)
+        controller.finish(first[0])
+        controller.offer(work(99, "small", 1.0, last_resort=True), 1.0)
 
-        assert started(system, 1.0)[0] == "r99"
+        assert started(controller, 1.0)[0] == "r99"
 
     @pytest.mark.parametrize("weight", [1.0, 3.0], ids=["equal", "triple"])
     def test_started_work_is_proportional_to_the_weights(self, weight):
-        system = admission(max_running=1, max_waiting_per_account=200, max_waiting=400)
-        system.weights = {"heavy": weight}
+        controller = admission(max_running=1, max_waiting_per_account=200, max_waiting=400)
+        controller.weights = {"heavy": weight}
         for i in range(150):
-            system.offer(work(i, "heavy", last_resort=True, deadline_s=999.0), 0.0)
-            system.offer(work(1_000 + i, "light", last_resort=True, deadline_s=999.0), 0.0)
+            controller.offer(work(i, "heavy", last_resort=True, deadline_s=999.0), 0.0)
+            controller.offer(work(1_000 + i, "light", last_resort=True, deadline_s=999.0), 0.0)
         counts = {"heavy": 0, "light": 0}
         for tick in range(120):
-            [request_id] = started(system, tick * 0.01)
-            counts[system.requests.get(request_id).account] += 1
-            system.finish(request_id)
+            [request_id] = started(controller, tick * 0.01)
+            counts[controller.requests.get(request_id).account] += 1
+            controller.finish(request_id)
 
         assert counts["heavy"] / counts["light"] == pytest.approx(weight, rel=0.3)
 
     def test_long_requests_are_charged_for_their_tokens(self):
-        system = admission(max_running=1, max_waiting_per_account=99)
+        controller = admission(max_running=1, max_waiting_per_account=99)
         for i in range(40):
-            system.offer(work(i, "long", output_tokens=4_000, last_resort=True), 0.0)
-            system.offer(work(100 + i, "short", output_tokens=400, last_resort=True), 0.0)
+            controller.offer(work(i, "long", output_tokens=4_000, last_resort=True), 0.0)
+            controller.offer(work(100 + i, "short", output_tokens=400, last_resort=True), 0.0)
         short = 0
         for tick in range(33):
-            [request_id] = started(system, tick * 0.01)
-            short += system.requests.get(request_id).account == "short"
-            system.finish(request_id)
+            [request_id] = started(controller, tick * 0.01)
+            short += controller.requests.get(request_id).account == "short"
+            controller.finish(request_id)
 
         assert short >= 27
 
     def test_higher_priority_of_the_same_account_goes_first(self):
-        system = admission(max_running=1)
-        system.offer(work(1, last_resort=True), 0.0)
-        system.offer(work(2, last_resort=True, priority=5), 0.0)
+        controller = admission(max_running=1)
+        controller.offer(work(1, last_resort=True), 0.0)
+        controller.offer(work(2, last_resort=True, priority=5), 0.0)
 
-        assert started(system, 0.0) == ["r2"]
+        assert started(controller, 0.0) == ["r2"]
 
     def test_cancelled_request_frees_its_slot(self):
-        system = admission(max_running=1)
+        controller = admission(max_running=1)
         for i in (1, 2, 3):
-            system.offer(work(i, last_resort=True), 0.0)
-        system.finish("r1")
+            controller.offer(work(i, last_resort=True), 0.0)
+        controller.finish("r1")
 
-        assert started(system, 0.0) == ["r2"]
-        assert system.requests.waiting_count == 1
+        assert started(controller, 0.0) == ["r2"]
+        assert controller.requests.waiting_count == 1
 
 
 class TestTickCost:
@@ -241,15 +245,15 @@
     def test_cost_of_a_tick_does_not_grow_with_waiting_requests_or_known_chats(self, waiting):
         # A tick that scanned the queue or the chats would use the sidecar's whole CPU core at the
         # target load. The test counts Python function calls, which are the same on every machine.
-        system = admission(max_running=1, max_waiting=2_000, max_waiting_per_account=2_000)
+        controller = admission(max_running=1, max_waiting=2_000, max_waiting_per_account=2_000)
         for chat in range(waiting):
-            system.pointers.record_location(chat, "e0", 10, 0.0)
-            system.offer(work(chat, f"a{chat % 10}", last_resort=True), 0.0)
-        system.tick(0.0)
+            controller.pointers.record_location(chat, "e0", 10, 0.0)
+            controller.offer(work(chat, f"a{chat % 10}", last_resort=True), 0.0)
+        controller.tick(0.0)
         calls = []
 
         sys.setprofile(lambda frame, event, _: event == "call" and calls.append(frame))
-        system.tick(0.05)
+        controller.tick(0.05)
         sys.setprofile(None)
 
         assert len(calls) < 30
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -3,7 +3,7 @@
 
 from beryljunction.loads import LoadRow
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.systems import AttemptSystem, GiveUp, RetryBudget, Try
+from beryljunction.systems import GiveUp, RequestAttempts, RetryBudget, Try
 from beryljunction.tables import Endpoint, EndpointState
 
 ROWS = [Endpoint(f"e{i}", "drafter", "z", "") for i in range(8)]
@@ -19,51 +19,51 @@
 
 
 def attempts(count: int = 8, idempotent: bool = True, share: float = 0.1, **fields):
-    return AttemptSystem(ROWS[:count], RetryBudget(share, 2.0), idempotent, **fields)
+    return RequestAttempts(ROWS[:count], RetryBudget(share, 2.0), idempotent, **fields)
 
 
 class TestRestartedSidecar:
     def test_is_tried_once_more_with_its_new_stamp_without_the_budget(self):
         # The only sidecar of a service was replaced. The entry's next request has a stamp of the
         # earlier incarnation and is refused; the refusal has the new stamp, with which it runs.
-        system = AttemptSystem(ROWS[:1], RetryBudget(0.0, 0.0), idempotent=True)
-        system.first()
+        request_attempts = RequestAttempts(ROWS[:1], RetryBudget(0.0, 0.0), idempotent=True)
+        request_attempts.first()
         stale = refusal(RefusalCode.STALE_STAMP, Ran.UNKNOWN)
 
-        again = system.after(stale, ROWS[0])
+        again = request_attempts.after(stale, ROWS[0])
 
         assert again.endpoint == ROWS[0]
         assert again.last_resort
-        assert system.after(stale, ROWS[0]) == GiveUp(stale)
+        assert request_attempts.after(stale, ROWS[0]) == GiveUp(stale)
 
 
 class TestSpill:
     def test_ends_at_the_least_loaded_of_the_tried_endpoints_which_may_queue(self):
-        system = attempts()
-        system.first()
+        request_attempts = attempts()
+        request_attempts.first()
 
-        steps = [system.after(overloaded(i, 20 - i), ROWS[i]) for i in range(4)]
+        steps = [request_attempts.after(overloaded(i, 20 - i), ROWS[i]) for i in range(4)]
 
         assert [step.endpoint.endpoint_id for step in steps] == ["e1", "e2", "e3", "e3"]
         assert steps[-1].last_resort
         assert len(steps[-1].loads) == 4
 
     def test_slow_endpoint_with_few_requests_is_not_the_least_loaded(self):
-        system = attempts(2)
-        system.first()
-        system.after(overloaded(0, 10, speed=2.0), ROWS[0])
+        request_attempts = attempts(2)
+        request_attempts.first()
+        request_attempts.after(overloaded(0, 10, speed=2.0), ROWS[0])
 
-        step = system.after(overloaded(1, 30, speed=10.0), ROWS[1])
+        step = request_attempts.after(overloaded(1, 30, speed=10.0), ROWS[1])
 
         assert step.endpoint.endpoint_id == "e1"
 
     def test_ends_when_the_last_resort_refuses_too(self):
         # Every endpoint is loading a model and refuses all requests. If the last resort were tried
         # again after its refusal, the entry would loop forever.
-        system = attempts(2)
-        system.first()
+        request_attempts = attempts(2)
+        request_attempts.first()
 
-        steps = [system.after(overloaded(i % 2, 5), ROWS[i % 2]) for i in range(3)]
+        steps = [request_attempts.after(overloaded(i % 2, 5), ROWS[i % 2]) for i in range(3)]
 
         assert [type(step) for step in steps] == [Try, Try, GiveUp]
 
@@ -71,34 +71,40 @@
         # An availability zone is lost, and the remaining endpoints are at their bound. The last try
         # fails at a lost endpoint. The caller must not get this failure while a live endpoint would
         # queue the request. The retry budget is empty by then, so none is charged.
-        system = attempts(3, share=0.0)
-        system.first()
-        system.after(overloaded(0, 9), ROWS[0])
-        system.after(overloaded(1, 5), ROWS[1])
+        request_attempts = attempts(3, share=0.0)
+        request_attempts.first()
+        request_attempts.after(overloaded(0, 9), ROWS[0])
+        request_attempts.after(overloaded(1, 5), ROWS[1])
 
-        step = system.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[2])
+        step = request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[2])
 
-        assert (step.endpoint.endpoint_id, step.last_resort, system.retries) == ("e1", True, 0)
-        assert isinstance(system.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[1]), GiveUp)
+        assert (step.endpoint.endpoint_id, step.last_resort, request_attempts.retries) == (
+            "e1",
+            True,
+            0,
+        )
+        assert isinstance(
+            request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED), ROWS[1]), GiveUp
+        )
 
     def test_does_not_try_a_suspect_while_a_live_endpoint_may_queue_the_request(self):
         # An availability zone is unreachable. Each try there would take a connect timeout, while
         # live endpoints have space in their queue.
         suspect = attrs.evolve(ROWS[2], state=EndpointState.SUSPECT)
-        system = AttemptSystem([*ROWS[:2], suspect], RetryBudget(0.1, 2.0), True)
-        system.first()
-        system.after(overloaded(0, 9), ROWS[0])
+        request_attempts = RequestAttempts([*ROWS[:2], suspect], RetryBudget(0.1, 2.0), True)
+        request_attempts.first()
+        request_attempts.after(overloaded(0, 9), ROWS[0])
 
-        step = system.after(overloaded(1, 5), ROWS[1])
+        step = request_attempts.after(overloaded(1, 5), ROWS[1])
 
         assert (step.endpoint.endpoint_id, step.last_resort) == ("e1", True)
 
     def test_costs_no_retry_budget(self):
-        system = attempts()
-        system.first()
-        system.after(overloaded(0, 1), ROWS[0])
+        request_attempts = attempts()
+        request_attempts.first()
+        request_attempts.after(overloaded(0, 1), ROWS[0])
 
-        assert system.retries == 0
+        assert request_attempts.retries == 0
 
 
 class TestLeaving:
@@ -106,13 +112,13 @@
         # A rack is drained, and the entries' lists lag, so its endpoints refuse requests for
         # seconds. If these tries were charged to the budget, callers would be refused while the
         # rest of the fleet has room.
-        system = attempts()
-        system.first()
+        request_attempts = attempts()
+        request_attempts.first()
 
-        steps = [system.after(refusal(RefusalCode.LEAVING), row) for row in ROWS[:6]]
+        steps = [request_attempts.after(refusal(RefusalCode.LEAVING), row) for row in ROWS[:6]]
 
         assert all(isinstance(step, Try) for step in steps)
-        assert system.retries == 0
+        assert request_attempts.retries == 0
 
 
 class TestFailover:
@@ -120,10 +126,12 @@
         # An availability zone with the homes of a third of the chats is lost. If failovers were
         # charged to the budget of a tenth, most of their callers would be refused despite live
         # endpoints.
-        system = attempts(share=0.0)
-        system.first()
+        request_attempts = attempts(share=0.0)
+        request_attempts.first()
 
-        steps = [system.after(refusal(RefusalCode.ENDPOINT_FAILED), row) for row in ROWS[:3]]
+        steps = [
+            request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED), row) for row in ROWS[:3]
+        ]
 
         assert [step.endpoint.endpoint_id for step in steps] == ["e1", "e2", "e3"]
 
@@ -131,7 +139,7 @@
         # Most of the service is down. Requests that try all endpoints would be a retry storm.
         suspects = [attrs.evolve(row, state=EndpointState.SUSPECT) for row in ROWS]
         long, short = (
-            AttemptSystem(rows, RetryBudget(0.0, 0.0), True) for rows in (ROWS, suspects)
+            RequestAttempts(rows, RetryBudget(0.0, 0.0), True) for rows in (ROWS, suspects)
         )
         failed = refusal(RefusalCode.ENDPOINT_FAILED)
 
@@ -142,21 +150,21 @@
         assert [type(step) for step in suspect_steps] == [Try, GiveUp]
 
     def test_of_a_request_that_may_have_run_is_a_retry(self):
-        system = AttemptSystem(ROWS, RetryBudget(0.0, 0.0), True)
-        system.first()
+        request_attempts = RequestAttempts(ROWS, RetryBudget(0.0, 0.0), True)
+        request_attempts.first()
 
-        step = system.after(refusal(RefusalCode.ENDPOINT_FAILED, Ran.UNKNOWN), ROWS[0])
+        step = request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED, Ran.UNKNOWN), ROWS[0])
 
         assert isinstance(step, GiveUp)
 
 
 class TestRetries:
     def test_stop_when_the_budget_is_empty(self):
-        system = attempts()
-        system.first()
+        request_attempts = attempts()
+        request_attempts.first()
         full = refusal(RefusalCode.QUEUE_FULL, retry_after_s=2.0)
 
-        steps = [system.after(full, row) for row in ROWS[:3]]
+        steps = [request_attempts.after(full, row) for row in ROWS[:3]]
 
         assert [type(step) for step in steps] == [Try, Try, GiveUp]
         assert steps[-1].refusal.retry_after_s == 2.0
@@ -172,70 +180,75 @@
         assert not budget.spend()
 
     def test_of_non_idempotent_requests_end_at_an_unknown_outcome(self):
-        system = attempts(idempotent=False)
-        system.first()
+        request_attempts = attempts(idempotent=False)
+        request_attempts.first()
 
-        step = system.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        step = request_attempts.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
 
         assert isinstance(step, GiveUp)
 
     def test_refusal_after_an_unknown_try_does_not_say_not_run(self):
         # The first endpoint disconnects during the answer, and the second refuses without running
         # the request. Its "not run" must not reach the caller, because the first may have run it.
-        system = attempts()
-        system.first()
-        system.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        request_attempts = attempts()
+        request_attempts.first()
+        request_attempts.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
 
-        step = system.after(refusal(RefusalCode.DEADLINE), ROWS[1])
+        step = request_attempts.after(refusal(RefusalCode.DEADLINE), ROWS[1])
 
         assert step.refusal.ran is Ran.UNKNOWN
 
     @pytest.mark.parametrize("code", [RefusalCode.DEADLINE, RefusalCode.BAD_REQUEST])
     def test_are_not_made_when_no_endpoint_could_do_better(self, code):
-        system = attempts()
-        system.first()
+        request_attempts = attempts()
+        request_attempts.first()
 
-        assert isinstance(system.after(refusal(code), ROWS[0]), GiveUp)
+        assert isinstance(request_attempts.after(refusal(code), ROWS[0]), GiveUp)
 
 
 class TestPointers:
     def test_are_followed_and_the_home_tried_again_if_they_are_stale(self):
-        system = attempts()
-        home = system.first().endpoint
+        request_attempts = attempts()
+        home = request_attempts.first().endpoint
         moved = refusal(RefusalCode.CHAT_MOVED, pointer="e5")
 
-        step = system.after(moved, home)
-        again = system.after(refusal(RefusalCode.ENDPOINT_FAILED), step.endpoint)
+        step = request_attempts.after(moved, home)
+        again = request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED), step.endpoint)
 
         assert (step.endpoint.endpoint_id, step.warm) == ("e5", True)
         assert (again.endpoint.endpoint_id, again.ignore_pointer) == ("e0", True)
 
     def test_to_an_endpoint_that_is_gone_lead_to_another_try_at_the_home(self):
-        system = attempts()
-        home = system.first().endpoint
+        request_attempts = attempts()
+        home = request_attempts.first().endpoint
 
-        step = system.after(refusal(RefusalCode.CHAT_MOVED, pointer="gone"), home)
+        step = request_attempts.after(refusal(RefusalCode.CHAT_MOVED, pointer="gone"), home)
 
         assert (step.endpoint.endpoint_id, step.ignore_pointer) == ("e0", True)
 
     def test_previous_home_is_asked_first_and_only_if_warm(self):
-        system = attempts(previous_home=ROWS[1])
+        request_attempts = attempts(previous_home=ROWS[1])
 
-        first = system.first()
-        step = system.after(refusal(RefusalCode.NOT_WARM), first.endpoint)
+        first = request_attempts.first()
+        step = request_attempts.after(refusal(RefusalCode.NOT_WARM), first.endpoint)
 
         assert (first.endpoint.endpoint_id, first.only_if_warm) == ("e1", True)
         assert step.endpoint.endpoint_id == "e0"
 
     def test_are_stored_by_the_home_and_the_next_in_order(self):
-        system = attempts()
+        request_attempts = attempts()
 
-        assert [row.endpoint_id for row in system.pointer_holders(ROWS[3])] == ["e0", "e1"]
-        assert [row.endpoint_id for row in system.pointer_holders(ROWS[1])] == ["e0"]
-        assert system.pointer_holders(ROWS[0]) == []
+        assert [row.endpoint_id for row in request_attempts.pointer_holders(ROWS[3])] == [
+            "e0",
+            "e1",
+        ]
+        assert [row.endpoint_id for row in request_attempts.pointer_holders(ROWS[1])] == ["e0"]
+        assert request_attempts.pointer_holders(ROWS[0]) == []
 
     def test_that_were_followed_are_not_sent_again(self):
-        system = attempts()
-        system.after(refusal(RefusalCode.CHAT_MOVED, pointer="e5"), system.first().endpoint)
+        request_attempts = attempts()
+        request_attempts.after(
+            refusal(RefusalCode.CHAT_MOVED, pointer="e5"), request_attempts.first().endpoint
+        )
 
-        assert system.pointer_holders(ROWS[5]) == []
+        assert request_attempts.pointer_holders(ROWS[5]) == []
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -3,8 +3,8 @@
 from beryljunction.outcomes import Ran
 from beryljunction.systems import (
     ClaimLimits,
-    ClaimSystem,
     KeyClaim,
+    KeyClaimResolver,
     KeyLost,
     KeyMismatch,
     KeyUnavailable,
@@ -17,8 +17,8 @@
 LIMITS = ClaimLimits(life_s=100.0, max_keys=3, batch_claims=2, append_gap_s=0.2, wait_s=2.0)
 
 
-def claims(name: str = "a") -> ClaimSystem:
-    return ClaimSystem(name, LIMITS)
+def claims(name: str = "a") -> KeyClaimResolver:
+    return KeyClaimResolver(name, LIMITS)
 
 
 def claim(ticket: str, key: str = "k", body: str = "b") -> KeyClaim:
@@ -29,37 +29,37 @@
     return {"id": "x", "claims": [[row.key, row.body, row.ticket] for row in rows]}
 
 
-class TestClaimSystem:
+class TestKeyClaimResolver:
     def test_first_claim_in_log_order_wins_at_every_reader(self):
         one, two = claims("a"), claims("b")
         one.submit("r1", claim("t1"), 0.0)
         two.submit("r2", claim("t2"), 0.0)
         log = [two.next_batch(0.0).to_record(), one.next_batch(0.0).to_record()]
 
-        for system in (one, two):
+        for resolver in (one, two):
             for offset, row in enumerate(log):
-                system.apply(offset, row, 0.1)
+                resolver.apply(offset, row, 0.1)
 
         assert one.tick(0.1) == [("r1", KeyLost("t2"))]
         assert two.tick(0.1) == [("r2", KeyWon("t2"))]
 
     def test_known_key_gets_its_verdict_at_once_even_while_the_log_is_down(self):
-        system = claims()
-        system.apply(0, record(claim("t1")), 0.0)
-        system.log_failed(1.0)
+        resolver = claims()
+        resolver.apply(0, record(claim("t1")), 0.0)
+        resolver.log_failed(1.0)
 
-        assert system.submit("r1", claim("t2"), 1.0) == KeyLost("t1")
-        assert system.submit("r2", claim("t3", body="other"), 1.0) == KeyMismatch()
+        assert resolver.submit("r1", claim("t2"), 1.0) == KeyLost("t1")
+        assert resolver.submit("r2", claim("t3", body="other"), 1.0) == KeyMismatch()
 
     def test_new_key_is_refused_at_once_while_the_log_is_down(self):
         # An earlier try with the key may have run through another entry, and only the log could
         # tell. So the refusal says "unknown", because after a "no" the caller might retry under a
         # new key. For this try alone it says "no", which is true and lets a caller that has never
         # sent the key before continue at once.
-        system = claims()
-        system.log_failed(1.0)
+        resolver = claims()
+        resolver.log_failed(1.0)
 
-        verdict = system.submit("r1", claim("t1"), 1.5)
+        verdict = resolver.submit("r1", claim("t1"), 1.5)
 
         assert verdict == KeyUnavailable(0.5)
         assert (key_refusal(verdict).ran, key_refusal(verdict).try_ran) == (Ran.UNKNOWN, Ran.NO)
@@ -67,38 +67,38 @@
     def test_lost_append_answer_is_resolved_by_reading(self):
         # The append takes effect but its answer is lost. The batch is appended again, and the
         # reader gets both copies.
-        system = claims()
-        system.submit("r1", claim("t1"), 0.0)
-        first = system.next_batch(0.0)
-        system.append_ended(first, is_sure=False, now_s=0.1)
+        resolver = claims()
+        resolver.submit("r1", claim("t1"), 0.0)
+        first = resolver.next_batch(0.0)
+        resolver.append_ended(first, is_sure=False, now_s=0.1)
 
-        again = system.next_batch(1.2)
-        system.apply(0, first.to_record(), 1.3)
-        system.apply(1, again.to_record(), 1.3)
+        again = resolver.next_batch(1.2)
+        resolver.apply(0, first.to_record(), 1.3)
+        resolver.apply(1, again.to_record(), 1.3)
 
         assert again.claims == first.claims
-        assert system.tick(1.3) == [("r1", KeyWon("t1"))]
+        assert resolver.tick(1.3) == [("r1", KeyWon("t1"))]
 
     def test_claim_times_out_and_is_not_appended_later(self):
-        system = claims()
-        system.submit("r1", claim("t1"), 0.0)
-        batch = system.next_batch(0.0)
+        resolver = claims()
+        resolver.submit("r1", claim("t1"), 0.0)
+        batch = resolver.next_batch(0.0)
 
-        assert system.tick(1.9) == []
-        assert system.tick(2.0) == [("r1", KeyUnavailable(LIMITS.down_s))]
-        system.append_ended(batch, is_sure=False, now_s=2.1)
-        assert system.next_batch(9.0) is None
+        assert resolver.tick(1.9) == []
+        assert resolver.tick(2.0) == [("r1", KeyUnavailable(LIMITS.down_s))]
+        resolver.append_ended(batch, is_sure=False, now_s=2.1)
+        assert resolver.next_batch(9.0) is None
 
     def test_batches_are_bounded_and_paced(self):
-        system = claims()
+        resolver = claims()
         for i in range(3):
-            system.submit(f"r{i}", claim(f"t{i}", key=f"k{i}"), 0.0)
+            resolver.submit(f"r{i}", claim(f"t{i}", key=f"k{i}"), 0.0)
 
-        first = system.next_batch(0.0)
-        assert system.next_batch(0.1) is None
-        system.append_ended(first, is_sure=True, now_s=0.1)
-        assert system.next_batch(0.1) is None
-        second = system.next_batch(0.2)
+        first = resolver.next_batch(0.0)
+        assert resolver.next_batch(0.1) is None
+        resolver.append_ended(first, is_sure=True, now_s=0.1)
+        assert resolver.next_batch(0.1) is None
+        second = resolver.next_batch(0.2)
 
         assert [len(first.claims), len(second.claims)] == [2, 1]
 
@@ -108,9 +108,9 @@
         one, two = claims(), claims()
         one.apply(0, record(claim("t1")), 0.0)
         two.apply(0, record(claim("t1")), 50.0)
-        for system in (one, two):
-            system.tick(101.0)
-            system.apply(1, record(claim("t2")), 101.0)
+        for resolver in (one, two):
+            resolver.tick(101.0)
+            resolver.apply(1, record(claim("t2")), 101.0)
 
         assert one.submit("r1", claim("t9"), 102.0) == KeyLost("t2")
         assert two.submit("r1", claim("t9"), 102.0) == KeyLost("t1")
@@ -124,7 +124,7 @@
         # that still knew the key would give its retry the first ticket, and both requests would
         # count as the key's. So by then no reader may still know the key.
         limits = ClaimLimits.within(retention_s)
-        older, newer = ClaimSystem("a", limits), ClaimSystem("b", limits)
+        older, newer = KeyClaimResolver("a", limits), KeyClaimResolver("b", limits)
         older.apply(0, record(claim("t1")), 0.0)
 
         newer.submit("r1", claim("t2"), retention_s)
@@ -137,14 +137,14 @@
     def test_full_table_treats_no_key_as_new(self):
         # A key that the full table could not store would look new to the next caller, and its
         # request would run twice.
-        system = claims()
+        resolver = claims()
         for i in range(4):
-            system.apply(i, record(claim(f"t{i}", key=f"k{i}")), 0.0)
+            resolver.apply(i, record(claim(f"t{i}", key=f"k{i}")), 0.0)
 
-        assert isinstance(system.submit("r1", claim("t9", key="k3"), 1.0), KeyUnavailable)
-        assert system.submit("r2", claim("t9", key="k0"), 1.0) == KeyLost("t0")
-        system.tick(101.0)
-        assert system.submit("r3", claim("t9", key="k9"), 101.0) is None
+        assert isinstance(resolver.submit("r1", claim("t9", key="k3"), 1.0), KeyUnavailable)
+        assert resolver.submit("r2", claim("t9", key="k0"), 1.0) == KeyLost("t0")
+        resolver.tick(101.0)
+        assert resolver.submit("r3", claim("t9", key="k9"), 101.0) is None
 
     @pytest.mark.parametrize(
         "poison",
@@ -152,19 +152,19 @@
         ids=["none", "number", "empty", "no-list", "short-row", "wrong-types"],
     )
     def test_malformed_record_claims_nothing(self, poison):
-        system = claims()
+        resolver = claims()
 
-        system.apply(0, poison, 0.0)
+        resolver.apply(0, poison, 0.0)
 
-        assert (len(system), system.next_offset) == (0, 1)
+        assert (len(resolver), resolver.next_offset) == (0, 1)
 
     def test_record_is_not_applied_twice(self):
-        system = claims()
-        system.apply(5, record(claim("t5")), 0.0)
+        resolver = claims()
+        resolver.apply(5, record(claim("t5")), 0.0)
 
-        system.apply(5, record(claim("t6", key="k6")), 0.0)
+        resolver.apply(5, record(claim("t6", key="k6")), 0.0)
 
-        assert len(system) == 1
+        assert len(resolver) == 1
 
 
 class TestKeys:
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -8,14 +8,14 @@
 from beryljunction.outcomes import Ran
 from beryljunction.streams import FrameNumberer, SequenceChecker, event_position
 from beryljunction.systems import (
-    AdmissionSystem,
-    ClaimSystem,
+    AdmissionController,
     IncarnationClock,
+    KeyClaimResolver,
     KeyWon,
     OutcomeAnswer,
+    RequestTombstones,
     Run,
     TicketLedger,
-    TombstoneSystem,
 )
 from beryljunction.systems.state.ticket_attempts import TicketAttempts
 from beryljunction.tables import TicketState
@@ -129,14 +129,14 @@
 
 
 def win_keys_without_reading(patch):
-    real = ClaimSystem.tick
+    real = KeyClaimResolver.tick
 
     def tick(self, now_s):
         won = [(row.request_id, KeyWon(row.claim.ticket)) for row in self._pending.values()]
         self._pending.clear()
         return won or real(self, now_s)
 
-    patch.setattr(ClaimSystem, "tick", tick)
+    patch.setattr(KeyClaimResolver, "tick", tick)
 
 
 def replace_tickets_in_doubt(patch):
@@ -160,7 +160,7 @@
 
 
 def take_work_while_leaving(patch):
-    real = AdmissionSystem.offer
+    real = AdmissionController.offer
 
     def offer(self, work, now_s):
         leaving, self.leaving = self.leaving, False
@@ -168,14 +168,14 @@
         self.leaving = leaving
         return decision
 
-    patch.setattr(AdmissionSystem, "offer", offer)
+    patch.setattr(AdmissionController, "offer", offer)
 
 
 def leave_no_tombstone(patch):
     def query_outcome(self, request_id, heard, age_s, now_s):
         return OutcomeAnswer.NOT_RUN if self._rows.get(request_id) is None else OutcomeAnswer.SEEN
 
-    patch.setattr(TombstoneSystem, "query_outcome", query_outcome)
+    patch.setattr(RequestTombstones, "query_outcome", query_outcome)
 
 
 def burn_what_may_have_run(patch):
@@ -214,13 +214,13 @@
 
 
 def point_elsewhere_for_ever(patch):
-    real = AdmissionSystem._moved
+    real = AdmissionController._moved
 
     def moved(self, work, now_s):
         work.ignore_pointer = False
         return real(self, work, now_s)
 
-    patch.setattr(AdmissionSystem, "_moved", moved)
+    patch.setattr(AdmissionController, "_moved", moved)
 
 
 REMOVED = [
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -9,10 +9,10 @@
 from beryljunction.standins import EngineModel, EngineStandIn
 from beryljunction.stops import GracefulStop
 from beryljunction.systems import (
+    EndpointSelector,
     HandoverLimits,
-    HandoverSystem,
+    HandoverPlanner,
     PlacementQuery,
-    PlacementSystem,
     TransferResult,
     chat_key_of,
     successor_of,
@@ -44,11 +44,11 @@
     return table
 
 
-def system_of(**limits):
-    return HandoverSystem("drafter-0", "drafter", "", HandoverLimits(**limits))
+def planner_of(**limits):
+    return HandoverPlanner("drafter-0", "drafter", "", HandoverLimits(**limits))
 
 
-class TestHandoverSystem:
+class TestHandoverPlanner:
     @pytest.mark.parametrize(
         ("limits", "busy", "keys"),
         [
@@ -61,7 +61,7 @@
     def test_plan_selects_chats_that_are_likely_to_return(self, limits, busy, keys):
         prefixes = prefixes_of((3, 300, 30.0), (1, 100, 10.0), (2, 200, 20.0))
 
-        plan = list(system_of(**limits).plan(prefixes, busy, members_of(3), 30.0))
+        plan = list(planner_of(**limits).plan(prefixes, busy, members_of(3), 30.0))
 
         assert [transfer.chat_key for transfer in plan] == keys
 
@@ -70,10 +70,10 @@
         members.put(Endpoint("drafter-3", "drafter", "ahd-a", "", state=EndpointState.LEAVING))
         prefixes = prefixes_of(*((key, 900, 0.0) for key in range(50)))
 
-        plan = list(system_of().plan(prefixes, set(), members, 0.0))
+        plan = list(planner_of().plan(prefixes, set(), members, 0.0))
 
         members.remove("drafter-0")
-        placement = PlacementSystem(members)
+        placement = EndpointSelector(members)
         homes = {k: placement.home(PlacementQuery("drafter", k), 0.0) for k in range(50)}
         assert {t.chat_key: t.successor.endpoint_id for t in plan} == {
             key: home.endpoint_id for key, home in homes.items()
@@ -93,25 +93,25 @@
         ],
     )
     def test_transfers_stop_at_their_limits(self, handed, times, may_go):
-        system = system_of(total_bytes=1000, token_bytes=1)
+        planner = planner_of(total_bytes=1000, token_bytes=1)
         rows = ((key, 100, 0.0) for key in range(21))
-        plan = list(system.plan(prefixes_of(*rows), set(), members_of(2), 0.0))
+        plan = list(planner.plan(prefixes_of(*rows), set(), members_of(2), 0.0))
         for transfer in plan[:times]:
-            system.started(transfer)
-            system.ended(transfer, handed)
+            planner.started(transfer)
+            planner.ended(transfer, handed)
 
-        assert system.may_start(plan[-1]) is may_go
+        assert planner.may_start(plan[-1]) is may_go
 
     def test_no_prefix_is_transferred_twice_until_the_endpoint_serves_again(self):
-        system = system_of()
+        planner = planner_of()
         prefixes = prefixes_of((1, 900, 0.0))
-        (transfer,) = system.plan(prefixes, set(), members_of(2), 0.0)
-        system.started(transfer)
+        (transfer,) = planner.plan(prefixes, set(), members_of(2), 0.0)
+        planner.started(transfer)
 
-        again = list(system.plan(prefixes, set(), members_of(2), 0.0))
-        system.reset()
+        again = list(planner.plan(prefixes, set(), members_of(2), 0.0))
+        planner.reset()
 
-        assert (again, len(list(system.plan(prefixes, set(), members_of(2), 0.0)))) == ([], 1)
+        assert (again, len(list(planner.plan(prefixes, set(), members_of(2), 0.0)))) == ([], 1)
 
 
 @attrs.define(eq=False)
@@ -163,7 +163,7 @@
 
     def successor_number_of(self, key):
         """Return the number of the endpoint that is tried next for a chat."""
-        placement = PlacementSystem(self.path.endpoints)
+        placement = EndpointSelector(self.path.endpoints)
         successor = successor_of(placement, PlacementQuery("drafter", key), "drafter-0", 0.0)
         return int(successor.endpoint_id[-1])
 
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -26,7 +26,7 @@
     WeightStoreModel,
 )
 from beryljunction.standins.orders import answer_engine_orders
-from beryljunction.systems.recovery.orders import AwaitRollout, NoOrder, Order, OrderSystem
+from beryljunction.systems.recovery.orders import AwaitRollout, EngineReconciler, NoOrder, Order
 from beryljunction.tables.orders import DesiredState, EngineState, Phase
 
 TURN_SEEDS = int(os.environ.get("BERYL_FUZZ_TURNS", "10"))
@@ -137,7 +137,7 @@
         runner.step().send(None)
 
 
-class TestOrderSystem:
+class TestEngineReconciler:
     @pytest.mark.parametrize(
         ("state", "expected"),
         [
@@ -152,16 +152,16 @@
         ids=["done", "newer-fence", "loading", "loading-old", "extra", "missing", "role"],
     )
     def test_step_depends_on_the_difference(self, state, expected):
-        assert isinstance(OrderSystem(random.Random(0)).decide(V2, state, 0.0), expected)
+        assert isinstance(EngineReconciler(random.Random(0)).decide(V2, state, 0.0), expected)
 
     def test_failed_load_is_retried_with_backoff(self):
-        system = OrderSystem(random.Random(0))
+        reconciler = EngineReconciler(random.Random(0))
         failed = EngineState({}, failed="no such version")
         tries = []
         for second in range(600):
-            if isinstance(system.decide(V2, failed, float(second)), AwaitRollout):
+            if isinstance(reconciler.decide(V2, failed, float(second)), AwaitRollout):
                 tries.append(second)
-                system.ordered(float(second), refused=True)
+                reconciler.ordered(float(second), refused=True)
 
         pauses = [b - a for a, b in zip(tries, tries[1:], strict=False)]
         assert max(pauses) <= 120
--- a/testing/test_peers.py
+++ b/testing/test_peers.py
@@ -9,7 +9,7 @@
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Server, bind, client_pool, respond
 from beryljunction.sidecar.peers import PeerExchange
-from beryljunction.systems import LoadSystem
+from beryljunction.systems import LoadTracker
 from beryljunction.wire import PEERS_PATH
 
 KEY = "0123456789abcdef0123456789abcdef"
@@ -26,7 +26,7 @@
     """One sidecar's peer exchange behind a real listener, which counts its bytes."""
 
     def __init__(self, name, version=0):
-        self.load = LoadSystem(name, "0a1b2c3d4e5f", rng=random.Random(1))
+        self.load = LoadTracker(name, "0a1b2c3d4e5f", rng=random.Random(1))
         self.newer = []
         self.asked_bytes = 0
         self.answered_bytes = 0
--- a/testing/test_placement.py
+++ b/testing/test_placement.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.systems import PlacementQuery, PlacementSystem, chat_key_of
+from beryljunction.systems import EndpointSelector, PlacementQuery, chat_key_of
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 
 
@@ -14,7 +14,7 @@
 class TestPlacement:
     def test_losing_an_endpoint_moves_only_its_own_chats(self):
         table = endpoint_table(9)
-        placement = PlacementSystem(table)
+        placement = EndpointSelector(table)
         queries = [PlacementQuery("drafter", chat_key_of("a", str(i))) for i in range(500)]
         before = [placement.candidates(query, 0.0)[0].endpoint_id for query in queries]
 
@@ -28,7 +28,7 @@
     def test_share_of_chats_follows_the_weight(self, weight):
         table = endpoint_table(4)
         table.get("drafter-0").weight = weight
-        placement = PlacementSystem(table)
+        placement = EndpointSelector(table)
 
         homes = [
             placement.candidates(PlacementQuery("drafter", chat_key_of("a", str(i))), 0.0)[0]
@@ -42,13 +42,13 @@
         table = endpoint_table(3)
         table.get("drafter-1").state = EndpointState.LEAVING
 
-        rows = PlacementSystem(table).candidates(PlacementQuery("drafter", 7), 0.0)
+        rows = EndpointSelector(table).candidates(PlacementQuery("drafter", 7), 0.0)
 
         assert sorted(row.endpoint_id for row in rows) == ["drafter-0", "drafter-2"]
 
     def test_suspect_is_tried_last_until_the_suspicion_ends(self):
         table = endpoint_table(3)
-        placement = PlacementSystem(table)
+        placement = EndpointSelector(table)
         query = PlacementQuery("drafter", 7)
         home = placement.candidates(query, 0.0)[0]
 
@@ -63,7 +63,7 @@
         table = endpoint_table(8)
         for number, row in enumerate(table):
             row.region = "gj-west" if number < 3 else "prairies"
-        placement = PlacementSystem(table, region="gj-west")
+        placement = EndpointSelector(table, region="gj-west")
 
         for chat in range(50):
             rows = placement.candidates(PlacementQuery("drafter", chat), 0.0)
@@ -73,7 +73,7 @@
         table = endpoint_table(8)
         for number, row in enumerate(table):
             row.region = "gj-west" if number < 3 else "prairies"
-        placement = PlacementSystem(table, region="gj-west")
+        placement = EndpointSelector(table, region="gj-west")
         queries = [PlacementQuery("drafter", chat) for chat in range(200)]
         before = [placement.candidates(query, 0.0)[0].endpoint_id for query in queries]
 
--- a/testing/test_pointers.py
+++ b/testing/test_pointers.py
@@ -1,10 +1,10 @@
-from beryljunction.systems import PlacementQuery, PlacementSystem, PointerSystem
+from beryljunction.systems import ChatDirectory, EndpointSelector, PlacementQuery
 from beryljunction.tables import ChatTable, Endpoint, EndpointTable
 
 
 class TestPointers:
     def test_life_is_extended_by_lookups(self):
-        pointers = PointerSystem("e0", life_s=10.0)
+        pointers = ChatDirectory("e0", life_s=10.0)
         pointers.record_location(7, "e1", 100, 0.0)
 
         assert pointers.look_up(7, 8.0).endpoint_id == "e1"
@@ -12,7 +12,7 @@
         assert pointers.look_up(7, 27.0) is None
 
     def test_least_recently_used_is_evicted_first(self):
-        pointers = PointerSystem("e0", chats=ChatTable(capacity=2))
+        pointers = ChatDirectory("e0", chats=ChatTable(capacity=2))
         for chat in (1, 2, 3):
             pointers.record_location(chat, "e0", 100, 0.0)
             pointers.look_up(1, 0.0)
@@ -22,7 +22,7 @@
 
 class TestCacheEvents:
     def test_eviction_drops_only_pointers_to_this_endpoint(self):
-        pointers = PointerSystem("e0")
+        pointers = ChatDirectory("e0")
         pointers.record_location(1, "e0", 100, 0.0)
         pointers.record_location(2, "e1", 100, 0.0)
 
@@ -34,7 +34,7 @@
     def test_event_after_a_gap_is_applied_and_a_late_one_ignored(self):
         # Events 2 to 4 are missing when event 5 arrives, and event 3 arrives after it. The chat of
         # event 3 has run again since, so dropping it would needlessly move its next request.
-        pointers = PointerSystem("e0")
+        pointers = ChatDirectory("e0")
         for chat in (1, 2):
             pointers.record_location(chat, "e0", 100, 0.0)
 
@@ -48,7 +48,7 @@
 class TestPreviousHome:
     def test_is_the_next_in_order_while_the_home_is_young(self):
         table = EndpointTable(Endpoint(f"e{i}", "drafter", "z", "") for i in range(4))
-        placement = PlacementSystem(table)
+        placement = EndpointSelector(table)
         rows = placement.candidates(PlacementQuery("drafter", 7), 0.0)
 
         assert placement.previous_home(rows, 100.0) is None
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -12,13 +12,13 @@
     Mismatch,
     OutcomeAnswer,
     Replay,
+    RequestTombstones,
     Run,
     TicketClaimRequest,
     TicketLedger,
     TicketMint,
     TicketRetired,
     TombstoneLimits,
-    TombstoneSystem,
     Unstamped,
     Unverified,
     WrongIncarnation,
@@ -272,20 +272,20 @@
 
 
 class TestTombstones:
-    def system(self, max_rows: int = 3) -> TombstoneSystem:
-        return TombstoneSystem("drafter-0", "inc-a", 0.0, TombstoneLimits(60.0, max_rows))
+    def tombstones(self, max_rows: int = 3) -> RequestTombstones:
+        return RequestTombstones("drafter-0", "inc-a", 0.0, TombstoneLimits(60.0, max_rows))
 
     def test_late_arrival_is_refused_by_the_tombstone(self):
         # The entry's connection breaks before the request arrives. It asks on a new connection and
         # reports "not run" to the caller. Then the old connection delivers the request.
-        here = self.system()
+        here = self.tombstones()
         heard = here.stamp(1.0)
 
         assert here.query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.NOT_RUN
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.BURIED
 
     def test_request_that_arrived_is_seen_and_its_copy_is_a_duplicate(self):
-        here = self.system()
+        here = self.tombstones()
         heard = here.stamp(1.0)
 
         assert here.arrive("r1", heard, 0.0, 2.0) is Arrival.FRESH
@@ -293,7 +293,7 @@
         assert here.arrive("r1", heard, 0.0, 3.0) is Arrival.DUPLICATE
 
     def test_entry_with_an_old_stamp_may_still_send(self):
-        here = self.system()
+        here = self.tombstones()
         heard = here.stamp(1.0)
 
         assert here.arrive("r1", heard, 500.0, 501.0) is Arrival.FRESH
@@ -301,7 +301,7 @@
         assert here.arrive("r2", heard, 500.0, 503.0) is Arrival.BURIED
 
     def test_arrival_later_than_any_tombstone_is_refused(self):
-        here = self.system()
+        here = self.tombstones()
         heard = here.stamp(1.0)
         here.query_outcome("r1", heard, 0.0, 2.0)
 
@@ -313,10 +313,10 @@
         "heard", [None, Stamp("drafter-0", "inc-z", 1)], ids=["no-stamp", "earlier-start"]
     )
     def test_answer_is_unknown_without_a_stamp_of_this_incarnation(self, heard):
-        assert self.system().query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.UNKNOWN
+        assert self.tombstones().query_outcome("r1", heard, 0.0, 2.0) is OutcomeAnswer.UNKNOWN
 
     def test_full_table_keeps_arrivals_and_refuses_requests_reported_as_not_run(self):
-        here = self.system(max_rows=1)
+        here = self.tombstones(max_rows=1)
         heard = here.stamp(1.0)
         here.arrive("r1", heard, 0.0, 1.0)
 
