--- a/src/beryljunction/routing/__init__.py
+++ b/src/beryljunction/routing/__init__.py
@@ -1,11 +1,11 @@
 """Routing decisions of an entry that calls endpoints directly; no I/O and no clock access."""
 
-from beryljunction.routing.admitting import Admitted, Denial, DenialReason, admit
+from beryljunction.routing.admission_checks import Admitted, Denial, DenialReason, admit
 from beryljunction.routing.attempts import AttemptDecision, AttemptOutcome, AttemptPlan
 from beryljunction.routing.budget import RetryShare
-from beryljunction.routing.cold import ColdStartLimit, ColdStartLimiter
+from beryljunction.routing.cache_aware_placement import CacheAwarePlacement
+from beryljunction.routing.cold_start import ColdStartLimit, ColdStartLimiter
 from beryljunction.routing.confirmation import STORE, AgeBound, Confirmation
-from beryljunction.routing.contact import StoreReachability
 from beryljunction.routing.crashes import Crash, CrashTable, crash_counting_hosts
 from beryljunction.routing.digest import request_digest
 from beryljunction.routing.endpoints import EndpointRegistry
@@ -20,16 +20,17 @@
     Service,
     WeightedService,
 )
-from beryljunction.routing.knownendpoint import (
+from beryljunction.routing.health import healthy_endpoints, weighted_loads
+from beryljunction.routing.known_endpoint import (
     EndpointRecord,
     KnownEndpoint,
     LatencyEstimate,
     LoadReport,
 )
 from beryljunction.routing.lease import SettingsLease
-from beryljunction.routing.loadnews import LoadSample, loads_to_gossip, merge_loads
+from beryljunction.routing.load_gossip import LoadSample, loads_to_gossip, merge_loads
 from beryljunction.routing.mechanisms import ALL_ON, Mechanism, Mechanisms, list_switches
-from beryljunction.routing.moved import MovedSession, MovedSessions
+from beryljunction.routing.moved_sessions import MovedSession, MovedSessions
 from beryljunction.routing.peers import Address, PeerTable, should_ask_peers
 from beryljunction.routing.placement import (
     Placement,
@@ -37,11 +38,10 @@
     PlainPlacement,
     PrefillPlan,
 )
-from beryljunction.routing.reading import PrefillRate
-from beryljunction.routing.refusing import retry_after_s
-from beryljunction.routing.soundness import healthy_endpoints, weighted_loads
-from beryljunction.routing.warm_placement import CacheAwarePlacement
-from beryljunction.routing.warmth import PrefixDirectory, PromptParts
+from beryljunction.routing.prefill_rate import PrefillRate
+from beryljunction.routing.prefix_directory import PrefixDirectory, PromptParts
+from beryljunction.routing.retry_after import retry_after_s
+from beryljunction.routing.store_reachability import StoreReachability
 
 __all__ = [
     "ALL_ON",
--- a/src/beryljunction/routing/warm_placement.py
+++ b/src/beryljunction/routing/cache_aware_placement.py
@@ -4,14 +4,14 @@
 import math
 from collections.abc import Callable, Collection, Mapping, Sequence
 
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.health import weighted_loads
+from beryljunction.routing.known_endpoint import KnownEndpoint
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
-from beryljunction.routing.moved import MovedSession, MovedSessions
+from beryljunction.routing.moved_sessions import MovedSession, MovedSessions
 from beryljunction.routing.placement import Placement, PlacementRequest, PrefillPlan
-from beryljunction.routing.reading import PrefillRate
+from beryljunction.routing.prefill_rate import PrefillRate
+from beryljunction.routing.prefix_directory import PrefixDirectory, PromptParts
 from beryljunction.routing.rendezvous import rendezvous_rank
-from beryljunction.routing.soundness import weighted_loads
-from beryljunction.routing.warmth import PrefixDirectory, PromptParts
 
 __all__ = ["CacheAwarePlacement"]
 
--- a/src/beryljunction/routing/cold.py
+++ b/src/beryljunction/routing/cold_start.py
@@ -6,7 +6,7 @@
 import attrs
 
 from beryljunction.routing.fleet import Service
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.known_endpoint import KnownEndpoint
 from beryljunction.routing.rendezvous import rendezvous_rank
 
 __all__ = ["ColdStartLimit", "ColdStartLimiter", "entry_share"]
--- a/src/beryljunction/routing/endpoints.py
+++ b/src/beryljunction/routing/endpoints.py
@@ -3,8 +3,8 @@
 import collections
 from collections.abc import Iterable
 
-from beryljunction.routing.contact import StoreReachability
-from beryljunction.routing.knownendpoint import EndpointRecord, KnownEndpoint
+from beryljunction.routing.known_endpoint import EndpointRecord, KnownEndpoint
+from beryljunction.routing.store_reachability import StoreReachability
 
 __all__ = ["EndpointRegistry"]
 
--- a/src/beryljunction/routing/soundness.py
+++ b/src/beryljunction/routing/health.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.known_endpoint import KnownEndpoint
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
 
 __all__ = ["healthy_endpoints", "weighted_loads"]
--- a/src/beryljunction/routing/loadnews.py
+++ b/src/beryljunction/routing/load_gossip.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.known_endpoint import KnownEndpoint
 
 __all__ = ["LoadSample", "merge_loads", "loads_to_gossip"]
 
--- a/src/beryljunction/routing/placement.py
+++ b/src/beryljunction/routing/placement.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.health import weighted_loads
+from beryljunction.routing.known_endpoint import KnownEndpoint
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
-from beryljunction.routing.soundness import weighted_loads
-from beryljunction.routing.warmth import PromptParts
+from beryljunction.routing.prefix_directory import PromptParts
 
 __all__ = ["PlacementRequest", "Placement", "PlainPlacement", "PrefillPlan"]
 
--- a/src/beryljunction/routing/refusing.py
+++ b/src/beryljunction/routing/retry_after.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Sequence
 
-from beryljunction.routing.knownendpoint import KnownEndpoint
+from beryljunction.routing.known_endpoint import KnownEndpoint
 
 __all__ = ["retry_after_s"]
 
--- a/testing/test_cold.py
+++ b/testing/test_cold_start.py
@@ -7,7 +7,7 @@
 
 from beryljunction.platform import InvalidRecord, decode_endpoint
 from beryljunction.routing import ColdStartLimit, ColdStartLimiter, EndpointRegistry, Service
-from beryljunction.routing.cold import entry_share
+from beryljunction.routing.cold_start import entry_share
 from routing_fakes import endpoint
 
 SERVICE = Service("engine", True, True, cold_start_s=3.0, cold_per_s=11.0)
@@ -198,11 +198,11 @@
         assert Fleet(1, entries).run() >= 0.5 * ALLOWED
 
     def test_too_short_window_exceeds_the_limit(self, monkeypatch):
-        monkeypatch.setattr("beryljunction.routing.cold._WINDOW_S", 0.4)
+        monkeypatch.setattr("beryljunction.routing.cold_start._WINDOW_S", 0.4)
 
         assert max(Fleet(seed, 4).run() for seed in range(1, 5)) > ALLOWED
 
     def test_share_without_regard_to_the_fleet_size_exceeds_the_limit(self, monkeypatch):
-        monkeypatch.setattr("beryljunction.routing.cold.entry_share", lambda *_: 1)
+        monkeypatch.setattr("beryljunction.routing.cold_start.entry_share", lambda *_: 1)
 
         assert max(Fleet(seed, 68).run() for seed in range(1, 5)) > ALLOWED
