--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -6,7 +6,7 @@
 
 from beryljunction.fuzz.platform.stores import FuzzStore
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.front import CallerFrontend
+from beryljunction.gateway.frontend import CallerFrontend
 from beryljunction.gateway.known import StoreView, local_store_view
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerClient
--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -15,7 +15,7 @@
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.front import CallerFrontend
+from beryljunction.gateway.frontend import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation
 from beryljunction.gateway.state import EntryState
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -3,17 +3,17 @@
 import anyio
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.gateway.caller_answer import AnswerWriter, CallerAnswer
 from beryljunction.gateway.calls import (
     EndpointCall,
     EndpointUnreachable,
     open_call,
     refuses_connections,
 )
-from beryljunction.gateway.delivery import AnswerWriter, CallerAnswer
+from beryljunction.gateway.endpoint_request import build_endpoint_request
 from beryljunction.gateway.endpointword import apply_response_headers
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import Headers, HttpRequest, ResponseHead
-from beryljunction.gateway.outgoing import build_endpoint_request
 from beryljunction.gateway.relay import AttemptResult, Relay
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
--- a/src/beryljunction/gateway/exchangelog.py
+++ b/src/beryljunction/gateway/exchangelog.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.delivery import CallerAnswer
+from beryljunction.gateway.caller_answer import CallerAnswer
 from beryljunction.gateway.state import EntryState
 from beryljunction.routing import Account, KnownEndpoint, PlacementRequest, PrefillPlan, Route
 
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -16,7 +16,7 @@
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.front import CallerFrontend
+from beryljunction.gateway.frontend import CallerFrontend
 from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.operators import OperatorHandler, operator_digests
 from beryljunction.gateway.peers import HttpPeerClient, PeerConfirmation, PeerHandler
--- a/src/beryljunction/gateway/relay.py
+++ b/src/beryljunction/gateway/relay.py
@@ -3,8 +3,8 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.gateway.caller_answer import CallerAnswer
 from beryljunction.gateway.calls import EndpointCall
-from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter
 from beryljunction.gateway.messages import ResponseHead
 from beryljunction.routing import AttemptOutcome, LatencyEstimate, RepeatPolicy
--- a/testing/test_digest.py
+++ b/testing/test_digest.py
@@ -2,7 +2,7 @@
 import pytest
 
 from beryljunction.routing import request_digest
-from platform_world import open_harness, reset, route
+from entry_harness import open_harness, reset, route
 
 REQUEST = {
     "account": "acme",
--- a/testing/test_entry_events.py
+++ b/testing/test_entry_events.py
@@ -2,7 +2,7 @@
 import time
 
 from beryljunction.gateway.events import EntryEventLog, LineWriter
-from platform_world import CapturedLog
+from entry_harness import CapturedLog
 
 
 class TestLineWriter:
--- a/testing/test_entry_metrics.py
+++ b/testing/test_entry_metrics.py
@@ -4,7 +4,7 @@
 import anyio
 
 from beryljunction.gateway.metrics import EntryMetrics
-from platform_world import open_harness, route
+from entry_harness import open_harness, route
 
 
 class TestEntryMetrics:
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -21,7 +21,7 @@
 from beryljunction.routing import PeerTable, should_ask_peers
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformStoreStandIn
-from platform_world import CapturedLog, open_harness, route
+from entry_harness import CapturedLog, open_harness, route
 
 FAST = DeploymentBounds(revocation_ms=3_000)
 CONFIG = json.dumps({"version": 3, "routes": [], "services": [], "tenants": []}).encode()
--- a/testing/test_entry_state.py
+++ b/testing/test_entry_state.py
@@ -3,7 +3,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
-from platform_world import CapturedLog
+from entry_harness import CapturedLog
 from routing_fakes import config_of, endpoint, route_of
 
 BOUNDS = DeploymentBounds(cold_overshoot=1.0)
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -4,7 +4,7 @@
 from beryljunction.cli.explain import explain as explain_command
 from beryljunction.explain import explain, parse_line
 from beryljunction.platform import DeploymentBounds
-from platform_world import open_harness, reset, route
+from entry_harness import open_harness, reset, route
 from routing_fakes import known
 
 
--- a/testing/test_following.py
+++ b/testing/test_following.py
@@ -17,7 +17,7 @@
     Unavailable,
     WriteOutcome,
 )
-from platform_world import CapturedLog, open_harness, route
+from entry_harness import CapturedLog, open_harness, route
 
 FAST = DeploymentBounds(revocation_ms=3_000)
 
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -4,19 +4,19 @@
 from beryljunction import clocks
 from beryljunction.fuzz.platform import PlatformProfile, run_platform_fuzz
 from beryljunction.gateway import (
+    endpoint_request,
     endpointword,
     exchange,
     following,
-    front,
+    frontend,
     known,
     membership,
-    outgoing,
     peers,
     relay,
     topics,
 )
+from beryljunction.gateway.caller_answer import CallerAnswer
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.delivery import CallerAnswer
 from beryljunction.gateway.eventstream import EventSplitter, StreamEvent
 from beryljunction.gateway.known import StoreView
 from beryljunction.gateway.quarantine import Quarantine
@@ -63,7 +63,7 @@
     def loop_time():
         return clocks.time.loop.now_s if hasattr(clocks.time, "loop") else clocks.time.monotonic()
 
-    for module in (exchange, following, front, known, membership, peers, topics):
+    for module in (exchange, following, frontend, known, membership, peers, topics):
         patch.setattr(module, "boot_time_s", loop_time)
 
 
@@ -117,7 +117,7 @@
 
 
 def work_on_for_callers_who_left(patch):
-    patch.setattr(front.CallerFrontend, "on_disconnect", lambda self, connection: None)
+    patch.setattr(frontend.CallerFrontend, "on_disconnect", lambda self, connection: None)
 
 
 def repeat_without_budget(patch):
@@ -125,21 +125,21 @@
 
 
 def name_no_endpoint(patch):
-    original = outgoing.endpoint_headers
+    original = endpoint_request.endpoint_headers
 
     def without(*args):
         return [line for line in original(*args) if line[0] != headers.EXPECTED_ENDPOINT]
 
-    patch.setattr(outgoing, "endpoint_headers", without)
+    patch.setattr(endpoint_request, "endpoint_headers", without)
 
 
 def pass_keys_on(patch):
-    original = outgoing.endpoint_headers
+    original = endpoint_request.endpoint_headers
 
     def with_key(lines, *args):
         return [*original(lines, *args), (headers.API_KEY, b"key-a")]
 
-    patch.setattr(outgoing, "endpoint_headers", with_key)
+    patch.setattr(endpoint_request, "endpoint_headers", with_key)
 
 
 def take_cut_answers_for_whole(patch):
--- a/testing/test_gateway_callers.py
+++ b/testing/test_gateway_callers.py
@@ -1,7 +1,7 @@
 import anyio
 import pytest
 
-from platform_world import open_harness, read_answer, route
+from entry_harness import open_harness, read_answer, route
 
 PREFIX = b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: q1\r\nX-Credential: key\r\n"
 
--- a/testing/test_gateway_exchange.py
+++ b/testing/test_gateway_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryljunction.platform import DeploymentBounds
-from platform_world import event, open_harness, read_answer, reset, route
+from entry_harness import event, open_harness, read_answer, reset, route
 
 STREAM = {"kind": "streaming", "service": "plain", "target-gap-ms": 400}
 
--- a/testing/test_gateway_operators.py
+++ b/testing/test_gateway_operators.py
@@ -7,7 +7,7 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.gateway.operators import operator_digests
-from platform_world import open_harness, route
+from entry_harness import open_harness, route
 
 KEY = "operator-key"
 DIGEST = hashlib.sha256(KEY.encode()).hexdigest()
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -8,7 +8,7 @@
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.listening import open_listener
 from beryljunction.platform import DeploymentBounds
-from platform_world import event, open_harness, read_answer, route
+from entry_harness import event, open_harness, read_answer, route
 
 READY = b"GET /ready HTTP/1.1\r\n\r\n"
 STREAM = {"kind": "streaming", "timeout-ms": 9_000}
--- a/testing/test_gateway_sockets.py
+++ b/testing/test_gateway_sockets.py
@@ -3,7 +3,7 @@
 import anyio
 
 from beryljunction.gateway import callers, calls, sockets
-from platform_world import open_harness, route
+from entry_harness import open_harness, route
 
 
 class TestTimeouts:
--- a/testing/test_knowledge_age.py
+++ b/testing/test_knowledge_age.py
@@ -7,8 +7,8 @@
 import pytest
 
 from beryljunction.platform import DeploymentBounds
+from entry_harness import open_harness, route
 from fanout_world import CountingStore, FleetWorld, StoreFault
-from platform_world import open_harness, route
 
 # By then, every wait that began before an entry knew the others has ended.
 STARTED_S = 14.0
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -2,7 +2,7 @@
 
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.local import LocalPlatform
-from platform_world import CapturedLog, EntryHarness
+from entry_harness import CapturedLog, EntryHarness
 
 HEAD = (
     b"POST %b HTTP/1.1\r\nHost: demo.example\r\nX-Request-Id: q1\r\nX-Credential: demo-key\r\n"
--- a/testing/test_publishing.py
+++ b/testing/test_publishing.py
@@ -8,8 +8,8 @@
 from beryljunction.gateway.updatelink import HttpUpdateClient
 from beryljunction.gateway.updates import Progress, Reply, TopicUpdate, Update, ZoneUpdate
 from beryljunction.platform import Record
+from entry_harness import open_harness, route
 from fanout_world import FleetWorld, History, StoreFault
-from platform_world import open_harness, route
 
 # An entry whose settings are this old is no longer ready, and its callers go to other entries.
 NOT_READY_S = 3.0
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -12,8 +12,8 @@
 from beryljunction.gateway.peers import HttpPeerClient, PeerHandler
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, PeerTable, crash_counting_hosts, request_digest
+from entry_harness import open_harness, reset, route
 from fanout_world import FleetWorld
-from platform_world import open_harness, reset, route
 from routing_fakes import known
 
 # Time within which the platform guarantees that all entries know of a quarantine.
--- a/testing/test_sharing.py
+++ b/testing/test_sharing.py
@@ -13,7 +13,7 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
-from platform_world import open_harness, route
+from entry_harness import open_harness, route
 from routing_fakes import endpoint
 
 SESSION = MovedSession(("common", "chat"), ("e1", 7))
