--- a/src/beryljunction/fuzz/platform/entries.py
+++ b/src/beryljunction/fuzz/platform/entries.py
@@ -6,11 +6,11 @@
 
 from beryljunction.fuzz.platform.stores import FuzzStore
 from beryljunction.gateway.crashreports import CrashReport
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.frontend import CallerFrontend
-from beryljunction.gateway.known import StoreView, local_store_view
-from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerClient
 from beryljunction.gateway.state import EntryState
+from beryljunction.gateway.store_view import StoreView, local_store_view
 from beryljunction.routing import Address
 
 __all__ = ["FuzzEntry", "FuzzPeerClient"]
--- a/src/beryljunction/fuzz/platform/world.py
+++ b/src/beryljunction/fuzz/platform/world.py
@@ -12,11 +12,11 @@
 from beryljunction.fuzz.platform.stores import FuzzStore, StoreFault
 from beryljunction.fuzz.platform.virtual import VirtualLoop, virtual_clock
 from beryljunction.gateway.callers import CallerConnection
+from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.crashreporter import CrashReporter
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.frontend import CallerFrontend
-from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerConfirmation
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
--- a/src/beryljunction/gateway/crashreports.py
+++ b/src/beryljunction/gateway/crashreports.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from beryljunction.gateway.fields import read_rows, read_start, read_text
+from beryljunction.gateway.message_fields import read_rows, read_start, read_text
 from beryljunction.routing import Crash
 
 __all__ = ["CrashReport"]
--- a/src/beryljunction/gateway/membership.py
+++ b/src/beryljunction/gateway/endpoint_watcher.py
@@ -6,9 +6,9 @@
 import anyio
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.schedules import ALWAYS_POLL, PollSchedule
+from beryljunction.gateway.poll_schedules import ALWAYS_POLL, PollSchedule
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
+from beryljunction.gateway.topic_reader import TopicReader, run_paced, wait_for_store
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import ENDPOINT_RECORDS, InvalidRecord, Record, Store, decode_endpoint
 from beryljunction.routing import Confirmation
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -11,10 +11,10 @@
     refuses_connections,
 )
 from beryljunction.gateway.endpoint_request import build_endpoint_request
-from beryljunction.gateway.endpointword import apply_response_headers
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import Headers, HttpRequest, ResponseHead
 from beryljunction.gateway.relay import AttemptResult, Relay
+from beryljunction.gateway.response_headers import apply_response_headers
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
 from beryljunction.platform.requests import (
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -8,15 +8,15 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
+from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.crashreports import CrashReport
-from beryljunction.gateway.following import ConfigWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.gossip import Gossip
-from beryljunction.gateway.known import StoreView, local_store_view
-from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.messages import HttpRequest
-from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import UPDATE_PATH
+from beryljunction.gateway.store_view import StoreView, local_store_view
+from beryljunction.gateway.update_client import UPDATE_PATH
+from beryljunction.gateway.update_receiver import UpdateReceiver
 from beryljunction.routing import Address, CallerLimits, PeerTable, should_ask_peers
 
 __all__ = ["PeerConfirmation", "HttpPeerClient", "PeerHandler", "PeerClient"]
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -13,21 +13,21 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.errors import SettingsError, StartError
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
+from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.crashreporter import CrashReporter
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.frontend import CallerFrontend
-from beryljunction.gateway.membership import EndpointWatcher
+from beryljunction.gateway.gossip_sender import GossipSender
 from beryljunction.gateway.operators import OperatorHandler, operator_digests
 from beryljunction.gateway.peers import HttpPeerClient, PeerConfirmation, PeerHandler
+from beryljunction.gateway.poll_schedules import ALWAYS_POLL, FanOutSchedule, PollSchedule
 from beryljunction.gateway.probes import ProbeHandler
-from beryljunction.gateway.publishing import UpdatePublisher
-from beryljunction.gateway.receiving import UpdateReceiver
 from beryljunction.gateway.registration import Registration
-from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule, PollSchedule
-from beryljunction.gateway.sharing import GossipSender
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import HttpUpdateClient
+from beryljunction.gateway.update_client import HttpUpdateClient
+from beryljunction.gateway.update_publisher import UpdatePublisher
+from beryljunction.gateway.update_receiver import UpdateReceiver
 from beryljunction.listening import open_listener
 from beryljunction.operators import NodeStatus
 from beryljunction.platform import (
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -6,9 +6,9 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s, wall_time_s
+from beryljunction.gateway.auto_reset_event import AutoResetEvent
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.platform import Record
 from beryljunction.routing import Crash, CrashTable, FanOut, KnownEndpoint, crash_counting_hosts
 
--- a/src/beryljunction/gateway/registration.py
+++ b/src/beryljunction/gateway/registration.py
@@ -5,11 +5,11 @@
 
 import anyio
 
+from beryljunction.gateway.auto_reset_event import AutoResetEvent
+from beryljunction.gateway.poll_schedules import ALWAYS_POLL, PollSchedule
 from beryljunction.gateway.quarantine import is_quarantine_key
-from beryljunction.gateway.schedules import ALWAYS_POLL, PollSchedule
-from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.topics import TopicReader, run_paced, wait_for_store
+from beryljunction.gateway.topic_reader import TopicReader, run_paced, wait_for_store
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import (
     ENTRY_ADDRESSES,
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -6,9 +6,9 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.gateway.auto_reset_event import AutoResetEvent
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.quarantine import Quarantine
-from beryljunction.gateway.signals import AutoResetEvent
 from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import (
     AgeBound,
--- a/src/beryljunction/gateway/known.py
+++ b/src/beryljunction/gateway/store_view.py
@@ -6,7 +6,7 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.membership import EndpointWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import ZoneUpdate
 from beryljunction.platform import Record
--- a/src/beryljunction/gateway/topics.py
+++ b/src/beryljunction/gateway/topic_reader.py
@@ -6,7 +6,7 @@
 import anyio
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.schedules import RETRY_PAUSE_S
+from beryljunction.gateway.poll_schedules import RETRY_PAUSE_S
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import TopicUpdate
 from beryljunction.platform import (
--- a/src/beryljunction/gateway/publishing.py
+++ b/src/beryljunction/gateway/update_publisher.py
@@ -7,11 +7,11 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.known import local_zone_update
-from beryljunction.gateway.membership import EndpointWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import UpdateClient
+from beryljunction.gateway.store_view import local_zone_update
+from beryljunction.gateway.update_client import UpdateClient
 from beryljunction.gateway.updates import Progress, Reply, Update
 from beryljunction.routing import Address, Confirmation
 
--- a/src/beryljunction/gateway/receiving.py
+++ b/src/beryljunction/gateway/update_receiver.py
@@ -1,8 +1,8 @@
 """Applies the updates that upstream entries push to this one."""
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.membership import EndpointWatcher
+from beryljunction.gateway.config_watcher import ConfigWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.updates import Progress, Reply, Update
--- a/src/beryljunction/gateway/updates.py
+++ b/src/beryljunction/gateway/updates.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from beryljunction.gateway.fields import read_text
+from beryljunction.gateway.message_fields import read_text
 from beryljunction.platform import Record
 
 __all__ = ["Progress", "Reply", "TopicUpdate", "Update", "ZoneUpdate"]
--- a/testing/fanout_world.py
+++ b/testing/fanout_world.py
@@ -10,19 +10,19 @@
 
 from beryljunction.fuzz.platform.stores import FuzzStore, StoreFault
 from beryljunction.fuzz.platform.virtual import VirtualLoop, virtual_clock
+from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.crashreporter import CrashReporter
 from beryljunction.gateway.crashreports import CrashReport
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.known import StoreView, local_store_view
-from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerClient, PeerConfirmation
-from beryljunction.gateway.publishing import UpdatePublisher
-from beryljunction.gateway.receiving import UpdateReceiver
+from beryljunction.gateway.poll_schedules import ALWAYS_POLL, FanOutSchedule
 from beryljunction.gateway.registration import Registration
-from beryljunction.gateway.schedules import ALWAYS_POLL, FanOutSchedule
 from beryljunction.gateway.state import EntryState
-from beryljunction.gateway.updatelink import UpdateClient
+from beryljunction.gateway.store_view import StoreView, local_store_view
+from beryljunction.gateway.update_client import UpdateClient
+from beryljunction.gateway.update_publisher import UpdatePublisher
+from beryljunction.gateway.update_receiver import UpdateReceiver
 from beryljunction.platform import DeploymentBounds, HostSettings, Unavailable
 from beryljunction.routing import PeerTable
 from beryljunction.standins.platform_store import PlatformStoreModel
--- a/testing/test_following.py
+++ b/testing/test_config_watcher.py
@@ -4,8 +4,8 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.following import ConfigWatcher
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import (
     DeploymentBounds,
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -5,15 +5,15 @@
 import attrs
 import pytest
 
-from beryljunction.gateway import following, known, peers, state
+from beryljunction.gateway import config_watcher, peers, state, store_view
+from beryljunction.gateway.config_watcher import ConfigWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.gateway.following import ConfigWatcher
-from beryljunction.gateway.known import StoreView, local_store_view
-from beryljunction.gateway.membership import EndpointWatcher
 from beryljunction.gateway.peers import PeerClient, PeerConfirmation
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.gateway.registration import Registration
 from beryljunction.gateway.state import EntryState
+from beryljunction.gateway.store_view import StoreView, local_store_view
 from beryljunction.gateway.updates import ZoneUpdate
 from beryljunction.listening import open_listener
 from beryljunction.platform import DeploymentBounds, HostSettings, Record, Unavailable, WriteOutcome
@@ -145,8 +145,8 @@
         self.peers = PeerConfirmation(self, self.state, self.config, self.endpoints, self.table)
 
     async def fetch_view(self, address, version, offset):
-        known = local_store_view(self.other.state, self.other.endpoints, version, offset)
-        return StoreView.decode(known.encode()) if known is not None else "nothing known"
+        store_view = local_store_view(self.other.state, self.other.endpoints, version, offset)
+        return StoreView.decode(store_view.encode()) if store_view is not None else "nothing known"
 
     async def send_gossip(self, address, moved):
         return False
@@ -163,7 +163,7 @@
         revoked key would be accepted forever.
         """
         now = [0.0]
-        for module in (peers, known, following, state):
+        for module in (peers, store_view, config_watcher, state):
             monkeypatch.setattr(module, "boot_time_s", lambda: now[0])
         one, two = Entry("one", CapturedLog()), Entry("two", CapturedLog())
         one.ask_peer(two)
@@ -183,7 +183,7 @@
 
     def test_settings_that_are_older_than_the_peers_are_not_confirmed(self, monkeypatch):
         """A peer has a newer version that can't be decoded here; its age is that version's."""
-        for module in (peers, known):
+        for module in (peers, store_view):
             monkeypatch.setattr(module, "boot_time_s", lambda: 3.0)
         one, two = Entry("one", CapturedLog()), Entry("two", CapturedLog())
         two.config.apply_from_peer(CONFIG.replace(b"3", b"8"))
--- a/testing/test_fuzz_platform.py
+++ b/testing/test_fuzz_platform.py
@@ -4,23 +4,23 @@
 from beryljunction import clocks
 from beryljunction.fuzz.platform import PlatformProfile, run_platform_fuzz
 from beryljunction.gateway import (
+    config_watcher,
     endpoint_request,
-    endpointword,
+    endpoint_watcher,
     exchange,
-    following,
     frontend,
-    known,
-    membership,
     peers,
     relay,
-    topics,
+    response_headers,
+    store_view,
+    topic_reader,
 )
 from beryljunction.gateway.caller_answer import CallerAnswer
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.eventstream import EventSplitter, StreamEvent
-from beryljunction.gateway.known import StoreView
 from beryljunction.gateway.quarantine import Quarantine
 from beryljunction.gateway.state import EntryState
+from beryljunction.gateway.store_view import StoreView
 from beryljunction.platform import headers
 from beryljunction.routing import (
     AttemptDecision,
@@ -63,7 +63,15 @@
     def loop_time():
         return clocks.time.loop.now_s if hasattr(clocks.time, "loop") else clocks.time.monotonic()
 
-    for module in (exchange, following, frontend, known, membership, peers, topics):
+    for module in (
+        exchange,
+        config_watcher,
+        frontend,
+        store_view,
+        endpoint_watcher,
+        peers,
+        topic_reader,
+    ):
         patch.setattr(module, "boot_time_s", loop_time)
 
 
@@ -101,7 +109,7 @@
 def go_on_using_leaving_endpoints(patch):
     usable = EndpointRegistry.reachable
     patch.setattr(EndpointRegistry, "usable", usable)
-    patch.setattr(EndpointRegistry, "is_usable", lambda self, known: True)
+    patch.setattr(EndpointRegistry, "is_usable", lambda self, endpoint: True)
 
 
 def keep_vanished_endpoints(patch):
@@ -154,11 +162,11 @@
 
 
 def ignore_answers_that_say_leaving(patch):
-    patch.setattr(endpointword, "has_leaving_header", lambda status, lines: False)
+    patch.setattr(response_headers, "has_leaving_header", lambda status, lines: False)
 
 
 def ignore_pauses_that_endpoints_ask_for(patch):
-    patch.setattr(endpointword, "parse_retry_after", lambda status, lines: 0.0)
+    patch.setattr(response_headers, "parse_retry_after", lambda status, lines: 0.0)
 
 
 def forget_what_departed_endpoints_said(patch):
--- a/testing/test_sharing.py
+++ b/testing/test_gossip_sender.py
@@ -4,12 +4,12 @@
 import anyio
 import attrs
 import pytest
-from beryljunction.gateway.gossip import Gossip
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.gateway.events import EntryEventLog
+from beryljunction.gateway.gossip import Gossip
+from beryljunction.gateway.gossip_sender import GossipSender
 from beryljunction.gateway.peers import HttpPeerClient, PeerClient, PeerHandler
-from beryljunction.gateway.sharing import GossipSender
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform import DeploymentBounds, HostSettings
 from beryljunction.routing import LoadReport, LoadSample, MovedSession, PeerTable
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryljunction.gateway.membership import EndpointWatcher
+from beryljunction.gateway.endpoint_watcher import EndpointWatcher
 from beryljunction.platform import Record
 from beryljunction.routing import EndpointRegistry, Evacuations, StoreReachability
 from fanout_world import FleetWorld, RecordHistory
--- a/testing/test_publishing.py
+++ b/testing/test_update_publisher.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.gateway.updatelink import HttpUpdateClient
+from beryljunction.gateway.update_client import HttpUpdateClient
 from beryljunction.gateway.updates import Progress, Reply, TopicUpdate, Update, ZoneUpdate
 from beryljunction.platform import Record
 from entry_harness import open_harness, route
@@ -415,7 +415,7 @@
 
     def test_lease_renewed_without_the_age_is_detected(self, monkeypatch):
         monkeypatch.setattr(
-            "beryljunction.gateway.following.ConfigWatcher.apply_update",
+            "beryljunction.gateway.config_watcher.ConfigWatcher.apply_update",
             lambda self, host, version, value, asked_s: self._state.lease.confirm(
                 self._state.lease.confirmed_s + 1.0
             ),
