--- a/src/beryljunction/bench/control.py
+++ b/src/beryljunction/bench/control.py
@@ -11,7 +11,7 @@
 
 from beryljunction.bench.control_messages import MessageBytes, busy_row, measure_messages
 from beryljunction.settings import FollowerSettings
-from beryljunction.settings.rotation import PeerRotation
+from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.settings.snapshots import SnapshotSchedule
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import encode_rows
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -30,9 +30,9 @@
 from beryljunction.errors import SettingsError
 from beryljunction.settings.files import load_toml
 from beryljunction.settings.paths import Path, parse_path
-from beryljunction.settings.resolving import Origin, Resolver
+from beryljunction.settings.resolver import Origin, Resolver
 from beryljunction.settings.rules import rule_of, value_problem
-from beryljunction.settings.validating import (
+from beryljunction.settings.validation import (
     edits_between,
     parse_leaves,
     tree_from_leaves,
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -12,10 +12,10 @@
 from beryljunction.cli.settings_output import EXIT_OK, print_not_in_force, print_problems, say
 from beryljunction.settings.changes import Edit
 from beryljunction.settings.files import load_toml
-from beryljunction.settings.operating import InvalidChange
+from beryljunction.settings.operator_session import InvalidChange
 from beryljunction.settings.paths import Path, parse_path
 from beryljunction.settings.publishing import InForce
-from beryljunction.settings.validating import edits_between, parse_leaves
+from beryljunction.settings.validation import edits_between, parse_leaves
 
 __all__ = ["set_", "unset"]
 
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -12,7 +12,7 @@
 from beryljunction.node import OperatorClient
 from beryljunction.servers import client_pool
 from beryljunction.settings.files import load_file
-from beryljunction.settings.operating import OperatorSession
+from beryljunction.settings.operator_session import OperatorSession
 from beryljunction.settings.peers import HttpPeers
 from beryljunction.settings.schema import OperatorFile
 from beryljunction.stores import HttpLogClient
--- a/src/beryljunction/cli/settings_output.py
+++ b/src/beryljunction/cli/settings_output.py
@@ -14,7 +14,7 @@
     OutcomeUnknown,
     PublishOutcome,
 )
-from beryljunction.settings.reader import AppliedRecord
+from beryljunction.settings.state import AppliedRecord
 
 __all__ = [
     "EXIT_INVALID",
--- a/src/beryljunction/gateway/endpoint_request.py
+++ b/src/beryljunction/gateway/endpoint_request.py
@@ -1,7 +1,11 @@
 """Builds the request that is sent to an endpoint."""
 
 from beryljunction.gateway.messages import HttpRequest, hop_by_hop_names
-from beryljunction.platform.requests import REQUIRED_HEADERS, endpoint_headers, with_last_event_id
+from beryljunction.platform.request_headers import (
+    REQUIRED_HEADERS,
+    endpoint_headers,
+    with_last_event_id,
+)
 from beryljunction.routing import Admitted
 
 __all__ = ["build_endpoint_request"]
--- a/src/beryljunction/gateway/exchange.py
+++ b/src/beryljunction/gateway/exchange.py
@@ -17,7 +17,7 @@
 from beryljunction.gateway.response_headers import apply_response_headers
 from beryljunction.gateway.state import EntryState
 from beryljunction.platform.headers import REQUEST_ID, RETRY_AFTER_S
-from beryljunction.platform.requests import (
+from beryljunction.platform.request_headers import (
     is_response_to,
     parse_caller_headers,
     was_not_executed,
--- a/src/beryljunction/gateway/response_headers.py
+++ b/src/beryljunction/gateway/response_headers.py
@@ -3,7 +3,7 @@
 from beryljunction.clocks import boot_time_s, wall_time_s
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import ResponseHead
-from beryljunction.platform.requests import has_leaving_header, parse_load, parse_retry_after
+from beryljunction.platform.request_headers import has_leaving_header, parse_load, parse_retry_after
 from beryljunction.routing import KnownEndpoint, LoadReport
 
 __all__ = ["apply_response_headers"]
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_view.py
@@ -8,7 +8,7 @@
 
 from beryljunction.errors import SettingsError
 from beryljunction.settings import AccountSettings, Edit, ResolvedSettings, ServiceSettings
-from beryljunction.settings.operating import InvalidChange, OperatorSession
+from beryljunction.settings.operator_session import InvalidChange, OperatorSession
 from beryljunction.stores import LogClient
 
 __all__ = [
--- a/src/beryljunction/settings/__init__.py
+++ b/src/beryljunction/settings/__init__.py
@@ -14,7 +14,7 @@
     Verdict,
 )
 from beryljunction.settings.files import converter, load_file, load_toml, structure
-from beryljunction.settings.following import (
+from beryljunction.settings.follower import (
     FollowerSettings,
     NoPeers,
     PeerSource,
@@ -22,8 +22,7 @@
 )
 from beryljunction.settings.paths import FLEET, Path, Scope, parse_path, parse_scope
 from beryljunction.settings.peers import SETTINGS_PATH, HttpPeers, serve_settings
-from beryljunction.settings.reader import Alarms, AppliedRecord, SettingsState
-from beryljunction.settings.resolving import Origin, Resolver, resolve
+from beryljunction.settings.resolver import Origin, Resolver, resolve
 from beryljunction.settings.rules import FieldRule, rule_of, value_problem
 from beryljunction.settings.schema import (
     AccountSettings,
@@ -38,8 +37,9 @@
     TlsSettings,
     WeightSettings,
 )
+from beryljunction.settings.state import Alarms, AppliedRecord, SettingsState
 from beryljunction.settings.tree import Leaf, SettingsTree
-from beryljunction.settings.validating import (
+from beryljunction.settings.validation import (
     dependencies_of,
     edits_between,
     parse_leaves,
--- a/src/beryljunction/settings/operating.py
+++ b/src/beryljunction/settings/operator_session.py
@@ -16,7 +16,7 @@
     Change,
     Edit,
 )
-from beryljunction.settings.following import FollowerSettings, PeerSource, SettingsFollower
+from beryljunction.settings.follower import FollowerSettings, PeerSource, SettingsFollower
 from beryljunction.settings.paths import Path, Scope, parse_path, parse_scope
 from beryljunction.settings.publishing import (
     AppendNow,
@@ -25,7 +25,7 @@
     WaitAndRead,
 )
 from beryljunction.settings.state import AppliedRecord, SettingsState
-from beryljunction.settings.validating import dependencies_of, validate_tree
+from beryljunction.settings.validation import dependencies_of, validate_tree
 from beryljunction.stores.log import LogClient, ReadFailed
 
 __all__ = ["InvalidChange", "OperatorSession"]
--- a/src/beryljunction/settings/peers.py
+++ b/src/beryljunction/settings/peers.py
@@ -10,8 +10,8 @@
 import httpcore
 
 from beryljunction.servers import Receive, Scope, Send, read_body, respond
-from beryljunction.settings.following import PeerSource
-from beryljunction.settings.rotation import PeerRotation
+from beryljunction.settings.follower import PeerSource
+from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.settings.state import SettingsState
 from beryljunction.wire import FLEET_KEY_HEADER
 
--- a/src/beryljunction/settings/publishing.py
+++ b/src/beryljunction/settings/publishing.py
@@ -5,7 +5,7 @@
 import attrs
 
 from beryljunction.settings.changes import Accepted, Change, Refused
-from beryljunction.settings.reader import AppliedRecord
+from beryljunction.settings.state import AppliedRecord
 from beryljunction.stores.log import Appended, AppendOutcome, AppendRefused
 
 __all__ = [
--- a/src/beryljunction/settings/reader.py
+++ b/src/beryljunction/settings/state.py
@@ -1,7 +1,7 @@
 """State of the settings in one process: takes log records and produces the resolved settings.
 
 The version only increases. There is no I/O and no clock here;
-:mod:`beryljunction.settings.following` supplies the records.
+:mod:`beryljunction.settings.follower` supplies the records.
 """
 
 import collections
@@ -10,7 +10,7 @@
 import attrs
 
 from beryljunction.settings.changes import Accepted, Change, Skipped, Verdict
-from beryljunction.settings.resolving import resolve
+from beryljunction.settings.resolver import resolve
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.settings.tree import SettingsTree
 from beryljunction.stores.log import LogPage
--- a/src/beryljunction/settings/tree.py
+++ b/src/beryljunction/settings/tree.py
@@ -3,7 +3,7 @@
 Whether a change is accepted depends only on the record and the tree before it. Types and ranges
 are not checked here: they may differ between two program versions, and the trees of the fleet would
 diverge permanently if one version accepted a record that the other refused. Values are validated
-before they are published and again when they are used (:mod:`beryljunction.settings.resolving`).
+before they are published and again when they are used (:mod:`beryljunction.settings.resolver`).
 """
 
 import json
--- a/src/beryljunction/settings/validating.py
+++ b/src/beryljunction/settings/validation.py
@@ -4,7 +4,7 @@
 
 from beryljunction.settings.changes import Edit, Match, ReadDependency
 from beryljunction.settings.paths import Path, Scope, parse_path, parse_scope
-from beryljunction.settings.resolving import Resolver
+from beryljunction.settings.resolver import Resolver
 from beryljunction.settings.rules import value_problem
 from beryljunction.settings.schema import LimitSettings, ServiceSettings
 from beryljunction.settings.tree import SettingsTree
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -14,7 +14,7 @@
 import httpcore
 
 from beryljunction.servers import Receive, Scope, Send, read_body, respond
-from beryljunction.settings.rotation import PeerRotation
+from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_rows, encode_rows
 
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -7,7 +7,7 @@
 )
 from beryljunction.settings.publishing import PublishStateMachine
 from beryljunction.systems.recovery.orders import AwaitRollout, EngineReconciler, NoOrder
-from settings_world import NODES, Oracle, Peers, covers_as_written
+from settings_simulation import NODES, Oracle, Peers, covers_as_written
 
 
 def without_gap_check(monkeypatch):
--- a/testing/settings_world.py
+++ b/testing/settings_simulation.py
@@ -26,9 +26,9 @@
     SettingsState,
     parse_path,
 )
-from beryljunction.settings.operating import InvalidChange, OperatorSession
+from beryljunction.settings.operator_session import InvalidChange, OperatorSession
+from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.settings.publishing import ChangeRefused, InForce, NotPublished
-from beryljunction.settings.rotation import PeerRotation
 from beryljunction.standins import EngineOrdersModel, LogModel, LogModelSettings, WeightStoreModel
 from beryljunction.stores import AppendUnknown, LogClient, ReadFailed
 from beryljunction.tables.orders import DesiredState
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -14,7 +14,7 @@
     SettingsFollower,
     SettingsState,
 )
-from beryljunction.settings.rotation import PeerRotation
+from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.stores import LogClient, LogPage, LogRecord, ReadFailed
 from virtual_time import Scheduler, sleep
 
--- a/testing/test_fuzz_settings.py
+++ b/testing/test_fuzz_settings.py
@@ -29,7 +29,7 @@
     without_unknown_appends,
     without_version_check,
 )
-from settings_world import (
+from settings_simulation import (
     AGREE_S,
     COUNTS,
     EDITS,
--- a/testing/test_node_orders.py
+++ b/testing/test_node_orders.py
@@ -4,7 +4,7 @@
 
 from beryljunction.local import LocalFleet, demo_view
 from beryljunction.settings import Edit
-from beryljunction.settings.operating import OperatorSession
+from beryljunction.settings.operator_session import OperatorSession
 from beryljunction.settings.publishing import InForce
 from beryljunction.standins import ModelLogClient
 
--- a/testing/test_priority.py
+++ b/testing/test_priority.py
@@ -3,7 +3,7 @@
 import pytest
 
 from beryljunction.settings import parse_leaves, resolve
-from beryljunction.settings.validating import tree_from_leaves
+from beryljunction.settings.validation import tree_from_leaves
 from beryljunction.standins import EngineModel, EngineStandIn
 from beryljunction.wire import Envelope
 from path_fakes import ScriptedEngine, chat, eventually, path_of, view_with
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -16,7 +16,7 @@
     SettingsState,
     serve_settings,
 )
-from beryljunction.settings.operating import InvalidChange, OperatorSession
+from beryljunction.settings.operator_session import InvalidChange, OperatorSession
 from beryljunction.settings.publishing import (
     AppendNow,
     ChangeRefused,
--- a/testing/test_response_headers.py
+++ b/testing/test_response_headers.py
@@ -5,7 +5,7 @@
 
 from beryljunction.fuzz.platform.actors import Behaviour
 from beryljunction.fuzz.platform.world import ENTRIES, PlatformWorld, behave
-from beryljunction.platform.requests import has_leaving_header, parse_retry_after
+from beryljunction.platform.request_headers import has_leaving_header, parse_retry_after
 from beryljunction.routing import EndpointRegistry, StoreReachability, retry_after_s
 from entry_harness import open_harness, route
 from routing_fakes import endpoint
--- a/testing/test_tree.py
+++ b/testing/test_tree.py
@@ -13,7 +13,7 @@
     resolve,
     validate_tree,
 )
-from beryljunction.settings.validating import tree_from_leaves
+from beryljunction.settings.validation import tree_from_leaves
 from beryljunction.stores import LogRecord
 
 DRAFTER = {"service": {"drafter": {"kind": "engine", "models": ["drafter"]}}}
