--- a/src/beryljunction/systems/__init__.py
+++ b/src/beryljunction/systems/__init__.py
@@ -34,7 +34,7 @@
 from beryljunction.systems.requests.retries import RetryBudget
 from beryljunction.systems.requests.uploads import Upload, UploadLimiter
 from beryljunction.systems.state.claims import ClaimLimits, KeyClaimResolver
-from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
+from beryljunction.systems.state.incarnation_clock import IncarnationClock, IssueValidity
 from beryljunction.systems.state.key_claims import (
     ClaimBatch,
     KeyClaim,
--- a/src/beryljunction/systems/state/claims.py
+++ b/src/beryljunction/systems/state/claims.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from beryljunction.systems.state.held_keys import KeyClaimTable, StoredClaim
+from beryljunction.systems.state.key_claim_table import KeyClaimTable, StoredClaim
 from beryljunction.systems.state.key_claims import (
     ClaimBatch,
     KeyClaim,
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -13,7 +13,7 @@
 
 from beryljunction.errors import InvariantError
 from beryljunction.outcomes import Ran, Refusal
-from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
+from beryljunction.systems.state.incarnation_clock import IncarnationClock, IssueValidity
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
     Expired,
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from beryljunction.systems.state.forward import IncarnationClock, IssueValidity
+from beryljunction.systems.state.incarnation_clock import IncarnationClock, IssueValidity
 from beryljunction.tables import Stamp
 
 __all__ = ["Arrival", "OutcomeAnswer", "TombstoneLimits", "RequestTombstones"]
