--- a/src/beryljunction/routing/attempts.py
+++ b/src/beryljunction/routing/attempts.py
@@ -7,7 +7,7 @@
 from beryljunction.routing.budget import RetryShare
 from beryljunction.routing.fleet import RepeatPolicy
 
-__all__ = ["AttemptPlan", "AttemptOutcome", "AttemptDecision"]
+__all__ = ["AttemptDecision", "AttemptOutcome", "AttemptPlan"]
 
 # Failed connections after which a request is given up. Each costs up to the connect timeout, and
 # after four the service is probably gone.
--- a/src/beryljunction/routing/cache_aware_placement.py
+++ b/src/beryljunction/routing/cache_aware_placement.py
@@ -211,7 +211,7 @@
 
 
 def _unreported_margin(row: KnownEndpoint, mean: float, now_s: float) -> float:
-    """Return the margin for requests that an endpoint got unseen since its last report.
+    """Return the margin for requests that an endpoint got since its last report.
 
     One entry of many sees little of what the others send. The number of such requests is random;
     the margin is its standard deviation, the square root of the expected number.
--- a/src/beryljunction/routing/health.py
+++ b/src/beryljunction/routing/health.py
@@ -7,14 +7,14 @@
 
 __all__ = ["healthy_endpoints", "weighted_loads"]
 
-# Endpoints with a measured pace that are needed for a meaningful median.
+# Endpoints with a measured latency that are needed for a meaningful median.
 _MIN_LATENCIES = 3
 # Healthy workers of one service differ by a factor of up to 1.3; from the lower factor on, one
 # counts as slow. The upper one keeps an endpoint with one stalled stream from being excluded for
 # good.
 _MIN_SLOWNESS = 1.6
 _MAX_SLOWNESS = 6.0
-# Share of bad outcomes from which an endpoint is skipped: two of about four. Healthy plain
+# Rate of bad outcomes from which an endpoint is skipped: two of about four. Healthy plain
 # endpoints answer up to one request in seven with an error of the application.
 _MIN_ERROR_RATE = 0.4
 _ERROR_RATE_FACTOR = 2.5
@@ -27,7 +27,7 @@
 
     An endpoint can run several times slower than its peers while it answers and looks healthy. By
     its number of requests it is as free as the others, but every request that goes there is late.
-    Slowness is the ratio of its pace to the median of its peers.
+    Slowness is the ratio of its latency to the median of its peers.
     """
     if not mechanisms.slowness:
         return {row.incarnation_id: row.load(now_s) for row in rows}
@@ -52,7 +52,7 @@
 
     An endpoint can fail, refuse or delay part of its requests while its record and its health check
     look good. It is often the least loaded one, so it attracts more and more requests, and those
-    that may run only once are lost. It is skipped when its share of bad outcomes is several times
+    that may run only once are lost. It is skipped when its rate of bad outcomes is several times
     that of its peers; if all fail alike, none is skipped.
     """
     healthy = list(rows)
--- a/src/beryljunction/routing/known_endpoint.py
+++ b/src/beryljunction/routing/known_endpoint.py
@@ -5,21 +5,21 @@
 
 import attrs
 
-__all__ = ["EndpointRecord", "KnownEndpoint", "LoadReport", "LatencyEstimate"]
+__all__ = ["EndpointRecord", "KnownEndpoint", "LatencyEstimate", "LoadReport"]
 
 # Requests last a second or two, so a reported load is soon outdated. Over this time, the part of it
 # that other entries caused decays to zero.
 _REPORT_DECAY_S = 2.0
 # Age of a report at which the requests that came after it are estimated at the mean load.
 _REPORT_OUTDATED_S = 1.0
-# Weight of a new sample of an endpoint's pace; about the last ten samples count.
+# Weight of a new sample of an endpoint's latency; about the last ten samples count.
 _LATENCY_WEIGHT = 0.1
-# A pace without new samples for this long is ignored, so that an endpoint that was slow gets
+# A latency without new samples for this long is ignored, so that an endpoint that was slow gets
 # requests again and can show whether it still is.
 _LATENCY_TTL_S = 3.0
-# Weight of a new outcome in the share of bad ones; about the last four outcomes count.
+# Weight of a new outcome in the error rate; about the last four outcomes count.
 _ERROR_WEIGHT = 0.25
-# Half-life of that share without new outcomes, so that a failing endpoint is tried again.
+# Half-life of that rate without new outcomes, so that a failing endpoint is tried again.
 _ERROR_HALF_LIFE_S = 2.0
 # An endpoint that keeps a request of this process waiting for longer hangs, or is processing
 # several of the longest prompts; other requests are better sent elsewhere until it answers.
@@ -36,8 +36,8 @@
     """Record that an endpoint publishes about itself.
 
     Attributes:
-        started_ms: Unix milliseconds of its start; another incarnation under the same id has no state
-            of this one.
+        started_ms: Unix milliseconds of its start; another incarnation under the same id has no
+            state of this one.
         slots: Number of requests that it runs concurrently.
         sequence: Number of the record among those of its incarnation.
         cold_ms: Remaining warm-up time; None if the record states no usable value.
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """Load that an endpoint stated in an answer, to this entry or to one that shared it.
+    """Load that an endpoint reported in an answer, to this entry or to one that shared it.
 
     Attributes:
         own: Requests of this process that the endpoint had at that time.
@@ -99,7 +99,7 @@
 
 @attrs.define
 class ErrorRate:
-    """Share of an endpoint's outcomes that were bad: errors, refusals, lost or missing answers."""
+    """Share of bad outcomes of an endpoint: errors, refusals, lost or missing answers."""
 
     _ratio: float = 0.0
     _at_s: float = -math.inf
@@ -111,7 +111,7 @@
         self._at_s = now_s
 
     def at(self, now_s: float) -> float:
-        """Return the share at this time."""
+        """Return the rate at this time."""
         if self._ratio == 0.0:
             return 0.0
         return float(self._ratio * 0.5 ** ((now_s - self._at_s) / _ERROR_HALF_LIFE_S))
@@ -125,8 +125,8 @@
         in_flight: Requests of this process that it has.
         prefill_tokens: Prompt tokens that it is estimated to be prefilling for this process.
         pending_since_s: Send time of each request that has no answer yet.
-        kept_until_s: Until when it is kept without a record, which may have expired in an outage of the
-            store; None while the record exists.
+        kept_until_s: Until when it is kept without a record, which may have expired in an outage of
+            the store; None while the record exists.
         is_evacuated: Whether its availability zone gets no new requests.
         leaving_s: Unix seconds at which an answer first said that it is leaving; None if none did.
         paused_until_s: Until when it has asked this process to send it no requests.
@@ -212,7 +212,7 @@
         return self.report.running + self.report.waiting if self.report is not None else 0
 
     def merge_load(self, requests: int, at_s: float) -> None:
-        """Record a load that it stated to another entry, unless a later one is known."""
+        """Record a load that it reported to another entry, unless a later one is known."""
         if self.report is None or at_s > self.report.at_s:
             self.report = LoadReport(requests, 0, min(self.in_flight, requests), at_s)
 
--- a/src/beryljunction/routing/load_gossip.py
+++ b/src/beryljunction/routing/load_gossip.py
@@ -6,7 +6,7 @@
 
 from beryljunction.routing.known_endpoint import KnownEndpoint
 
-__all__ = ["LoadSample", "merge_loads", "loads_to_gossip"]
+__all__ = ["LoadSample", "loads_to_gossip", "merge_loads"]
 
 # Older loads are not shared: most of those requests would have ended on arrival.
 _MAX_AGE_S = 2.0
@@ -17,11 +17,11 @@
 
 @attrs.frozen
 class LoadSample:
-    """Load that an endpoint stated: its requests from all entries.
+    """Load that an endpoint reported: its requests from all entries.
 
     Attributes:
         incarnation_id: Id and start time of the endpoint.
-        age_s: Time since the endpoint stated it.
+        age_s: Time since the endpoint reported it.
     """
 
     incarnation_id: tuple[str, int]
@@ -58,7 +58,7 @@
 
 
 def _means(rows: Iterable[KnownEndpoint]) -> dict[str, float]:
-    """Return the mean of the stated loads of each service."""
+    """Return the mean of the reported loads of each service."""
     loads: dict[str, list[int]] = {}
     for row in rows:
         loads.setdefault(row.record.service, []).append(row.reported_load)
--- a/src/beryljunction/routing/placement.py
+++ b/src/beryljunction/routing/placement.py
@@ -11,7 +11,7 @@
 from beryljunction.routing.mechanisms import ALL_ON, Mechanisms
 from beryljunction.routing.prefix_directory import PromptParts
 
-__all__ = ["PlacementRequest", "Placement", "PlainPlacement", "PrefillPlan"]
+__all__ = ["Placement", "PlacementRequest", "PlainPlacement", "PrefillPlan"]
 
 # Added to the load of a plain endpoint in another availability zone, as a share of its slots: the
 # network path costs 0.5 to 1.4 ms of about 45 ms of work.
@@ -24,7 +24,8 @@
 
     Attributes:
         parts: Parts of its prompt.
-        excluded_endpoints: Endpoints of its service that must not get it; they count in the mean load.
+        excluded_endpoints: Endpoints of its service that must not get it; they count in the mean
+            load.
     """
 
     parts: PromptParts = PromptParts()
--- a/src/beryljunction/routing/prefix_directory.py
+++ b/src/beryljunction/routing/prefix_directory.py
@@ -7,7 +7,7 @@
 
 from beryljunction.routing.known_endpoint import KnownEndpoint
 
-__all__ = ["PromptParts", "PrefixDirectory"]
+__all__ = ["PrefixDirectory", "PromptParts"]
 
 # A part counts as cached for this long after its last use. Engines keep parts for minutes while
 # their memory lasts; a wrong estimate costs one prefill of the part.
--- a/testing/test_endpoint_registry.py
+++ b/testing/test_endpoint_registry.py
@@ -9,7 +9,7 @@
 
 
 def recovered_at(at_s):
-    """Return the contact of an entry that saw the store recover."""
+    """Return the store reachability of an entry that saw the store recover."""
     reachability = StoreReachability()
     reachability.note_failure()
     reachability.note_answer(at_s, at_s)
--- a/testing/test_response_headers.py
+++ b/testing/test_response_headers.py
@@ -117,11 +117,11 @@
         assert requests == 1
         assert "pause_s=1.0" in lines.of_event("endpoint_paused")[0]
 
-    @pytest.mark.parametrize("opens_in_s", [0.0, 2.0])
-    def test_retry_after_of_a_refused_caller_ends_when_an_endpoint_opens(self, opens_in_s):
-        pause_s = retry_after_s([], 30.0, random.Random(1), 0.0, opens_in_s)
+    @pytest.mark.parametrize("available_in_s", [0.0, 2.0])
+    def test_retry_after_of_a_refused_caller_ends_when_an_endpoint_opens(self, available_in_s):
+        pause_s = retry_after_s([], 30.0, random.Random(1), 0.0, available_in_s)
 
-        assert opens_in_s <= pause_s <= max(opens_in_s, 0.25) + 0.5
+        assert available_in_s <= pause_s <= max(available_in_s, 0.25) + 0.5
 
     def test_pausing_endpoint_gets_only_requests_already_in_flight(self):
         world = PlatformWorld()
