--- a/src/beryljunction/gateway/caller_answer.py
+++ b/src/beryljunction/gateway/caller_answer.py
@@ -11,7 +11,7 @@
 
 
 class AnswerWriter(Protocol):
-    """The methods of a caller's connection that a delivery uses."""
+    """The methods of a caller's connection that an answer is written with."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer."""
@@ -35,7 +35,8 @@
     Attributes:
         has_started: Whether the head of an answer was written.
         last_event_id: Id of the last event that was written; None before the first with an id.
-        first_byte_s: Boot time at which the first byte was written; that clock counts suspended time.
+        first_byte_s: Boot time at which the first byte was written; that clock counts suspended
+            time.
         status: Status that was written; 0 before that.
         is_complete: Whether the answer was completed.
     """
@@ -67,7 +68,7 @@
         self._caller.start_answer(head.status, _end_to_end_headers(head))
 
     async def write_part(self, data: bytes) -> None:
-        """Write a part of the answer; `begin` must have been called."""
+        """Write a part of the answer; `start_answer` must have been called."""
         await self._caller.write_part(data)
 
     async def write_events(self, head: ResponseHead, events: list[StreamEvent]) -> None:
--- a/src/beryljunction/gateway/eventstream.py
+++ b/src/beryljunction/gateway/eventstream.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event including its final blank line; `position` is its id if that is a number."""
+    """One event including its final blank line; `event_id` is its id if that is a number."""
 
     raw: bytes
     event_id: int | None
--- a/src/beryljunction/gateway/frontend.py
+++ b/src/beryljunction/gateway/frontend.py
@@ -22,7 +22,8 @@
     """Serves the caller connections of an entry.
 
     Attributes:
-        is_draining: Whether the process is stopping; connections then close after their next answer.
+        is_draining: Whether the process is stopping; connections then close after their next
+            answer.
     """
 
     def __init__(self, state: EntryState, group: anyio.abc.TaskGroup) -> None:
--- a/src/beryljunction/gateway/messages.py
+++ b/src/beryljunction/gateway/messages.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-__all__ = ["ResponseHead", "Headers", "HttpRequest", "hop_by_hop_names", "reason_phrase"]
+__all__ = ["Headers", "HttpRequest", "ResponseHead", "hop_by_hop_names", "reason_phrase"]
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -82,8 +82,8 @@
 
     Args:
         headers: Headers of a message.
-        forwarded_names: Names that are forwarded even if the message's Connection header lists them, so that
-            a caller can't have the headers that identify its request removed.
+        forwarded_names: Names that are forwarded even if the message's Connection header lists
+            them, so that a caller can't have the headers that identify its request removed.
     """
     listed = {
         token.strip().lower()
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -60,8 +60,8 @@
     Args:
         host: Settings of this host, as read at startup.
         events: The event log.
-        early_socket: Listening socket for callers, opened before most modules were imported; None if
-            there is none.
+        early_socket: Listening socket for callers, opened before most modules were imported; None
+            if there is none.
     """
 
     def __init__(
@@ -258,7 +258,7 @@
         return registration
 
     def _callers_socket(self) -> socket.socket:
-        """Return the listening socket for callers: the early one if its address matches."""
+        """Return the listening socket for callers: `early_socket` if its address matches."""
         early_socket, address = self._early_socket, self._host.callers
         if early_socket is not None:
             if early_socket.getsockname() == address:
--- a/testing/entry_harness.py
+++ b/testing/entry_harness.py
@@ -21,8 +21,8 @@
 __all__ = [
     "AnswerBuilder",
     "CapturedLog",
-    "ScriptedEndpoint",
     "EntryHarness",
+    "ScriptedEndpoint",
     "event",
     "open_harness",
     "reset",
@@ -308,7 +308,7 @@
 
 @contextlib.asynccontextmanager
 async def open_harness(*routes, bounds=None, start=True, operator_keys=None):
-    """Open a world with a configuration and, unless `start` is false, a ready entry.
+    """Open a harness with a configuration and, unless `start` is false, a ready entry.
 
     If operator keys are given, even an empty string, the entry also serves the metrics address.
     """
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -199,7 +199,7 @@
 
 @attrs.define
 class Pair:
-    """A world with a second entry, which uses the same store with separate faults."""
+    """A harness with a second entry, which uses the same store with separate faults."""
 
     harness: object
     store: PlatformStoreStandIn
