--- a/src/beryljunction/gateway/gossip.py
+++ b/src/beryljunction/gateway/gossip.py
@@ -46,7 +46,7 @@
         return json.dumps(values, separators=(",", ":")).encode()
 
     @classmethod
-    def decode(cls, data: bytes) -> "News":
+    def decode(cls, data: bytes) -> "Gossip":
         """Decode it from JSON.
 
         Raises:
@@ -63,7 +63,7 @@
                 loads=tuple(_decode_load(*row) for row in loads),
             )
         except (KeyError, TypeError) as error:
-            raise ValueError(f"expected news of an entry, got {error!r}") from error
+            raise ValueError(f"expected gossip of an entry, got {error!r}") from error
 
 
 def _decode_moved(endpoint_id: Any, started_ms: Any, *part_ids: Any) -> MovedSession:
--- a/src/beryljunction/gateway/gossip_sender.py
+++ b/src/beryljunction/gateway/gossip_sender.py
@@ -22,7 +22,7 @@
 
 @attrs.define
 class GossipSender:
-    """Sends each peer in turn the news that it has not acknowledged."""
+    """Sends each peer in turn the gossip that it has not acknowledged."""
 
     _client: PeerClient
     _state: EntryState
@@ -30,18 +30,18 @@
     _incarnation: str
 
     async def run(self) -> None:
-        """Send news to peers until cancelled."""
+        """Send gossip to peers until cancelled."""
         while True:
             await anyio.sleep(_SEND_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Send one message to the next peer that lacks news.
+        """Send one message to the next peer that lacks gossip.
 
-        Unanswered news is sent again, since a peer that missed it would send moved sessions to
+        Unanswered gossip is sent again, since a peer that missed it would send moved sessions to
         their default endpoints, which would prefill them again. Each message names the process
         start of this entry, so that peers send everything to a restarted one; therefore each peer
-        gets a first message even if there is no news.
+        gets a first message even if there is nothing to send.
         """
         now_s = boot_time_s()
         rows = self._state.registry.rows if self._state.mechanisms.load_news else []
--- a/src/beryljunction/gateway/peers.py
+++ b/src/beryljunction/gateway/peers.py
@@ -139,8 +139,8 @@
 class HttpPeerClient(PeerClient):
     """Sends requests to other entries over HTTP.
 
-    `fetch_view` is rare and opens a connection each time, since an idle one may be dead. The other calls
-    use keep-alive connections; news that is lost on a dead one costs a prefix cache hit.
+    `fetch_view` is rare and opens a connection each time, since an idle one may be dead. The other
+    calls use keep-alive connections; gossip that is lost on a dead one costs a prefix cache hit.
     """
 
     def __init__(self) -> None:
--- a/src/beryljunction/gateway/state.py
+++ b/src/beryljunction/gateway/state.py
@@ -61,7 +61,8 @@
         fan_out: Which entries read the store, and which entry sends updates to which.
         era: Highest restore count of the store that this entry has seen.
         quarantine: Requests that crash the endpoints which run them.
-        store_data_changed: Set when data or a confirmation has arrived from the store or from another entry.
+        store_data_changed: Set when data or a confirmation has arrived from the store or from
+            another entry.
     """
 
     def __init__(self, host: HostSettings, events: EntryEventLog) -> None:
--- a/src/beryljunction/gateway/store_view.py
+++ b/src/beryljunction/gateway/store_view.py
@@ -53,7 +53,7 @@
         return json.dumps(values).encode()
 
     @classmethod
-    def decode(cls, data: bytes) -> "Known":
+    def decode(cls, data: bytes) -> "StoreView":
         """Decode it from JSON.
 
         Raises:
--- a/src/beryljunction/gateway/updates.py
+++ b/src/beryljunction/gateway/updates.py
@@ -148,8 +148,8 @@
         evacuations: Availability zones under evacuation.
         endpoints_progress: How far the sender has the endpoint records.
         entries_progress: How far the sender has the addresses of entries.
-        omits_endpoints: Whether endpoint records were omitted because they are too large; the receiver
-            reads them from the store.
+        omits_endpoints: Whether endpoint records were omitted because they are too large; the
+            receiver reads them from the store.
         config: The settings as the operator wrote them; None if they are omitted.
         endpoints: Endpoint records that the receiver lacks; None if there are none or they are
             omitted.
--- a/testing/test_gossip_sender.py
+++ b/testing/test_gossip_sender.py
@@ -108,7 +108,7 @@
 
 class TestGossipSender:
     def sender(self, *hosts):
-        """Return an entry's `GossipSender` that has sent the first message to each of these peers."""
+        """Return a `GossipSender` that has sent the first message to each of these peers."""
         self.state, self.client = entry_state(), FakeClient()
         self.moved = self.state.moved_sessions
         self.peers = PeerTable(random.Random(1))
@@ -148,7 +148,7 @@
 
         assert self.run_steps(sender, 2) == [("a", 1)]
 
-    def test_starting_entry_sends_its_life_to_each_peer(self):
+    def test_starting_entry_sends_its_incarnation_to_each_peer(self):
         sender = self.sender()
         for host in ("a", "b"):
             self.peers.put(host, (host, 1))
@@ -161,7 +161,7 @@
             ("b", "1"),
         ]
 
-    def test_peer_with_a_new_life_gets_everything_before_its_record_is_read(self):
+    def test_peer_with_a_new_incarnation_gets_everything_before_its_record_is_read(self):
         """Guards against prefilling moved chats again after all entries of a zone restart.
 
         Their records in the store are read only seconds later, so their first message has to be
@@ -180,7 +180,7 @@
         assert self.run_steps(sender, 2) == []
 
     def test_peer_that_was_cut_off_gets_what_it_missed(self):
-        """Guards against sending news only once, although the link is down for some seconds.
+        """Guards against sending gossip only once, although the link is down for some seconds.
 
         The peer would send the moved chats to their default endpoints for as long as they last, and
         their prefixes would be prefilled again.
