--- a/src/beryljunction/platform/__init__.py
+++ b/src/beryljunction/platform/__init__.py
@@ -32,14 +32,15 @@
 )
 
 __all__ = [
+    "DeploymentBounds",
     "ENDPOINT_RECORDS",
     "ENTRY_ADDRESSES",
     "Expired",
     "FLEET_CONFIG",
     "FLEET_CONFIG_KEY",
-    "DeploymentBounds",
     "HostSettings",
     "HttpStore",
+    "InvalidRecord",
     "NewestRecords",
     "Record",
     "Records",
@@ -47,7 +48,6 @@
     "Store",
     "Topic",
     "Unavailable",
-    "InvalidRecord",
     "WriteOutcome",
     "decode_config",
     "decode_endpoint",
--- a/src/beryljunction/platform/headers.py
+++ b/src/beryljunction/platform/headers.py
@@ -5,9 +5,7 @@
 
 __all__ = [
     "API_KEY",
-    "STRIPPED_FROM_REQUESTS",
-    "REMAINING_DEADLINE_MS",
-    "STRIPPED_FROM_RESPONSES",
+    "CLIENT_ACCOUNT",
     "EXPECTED_ENDPOINT",
     "FETCH_FROM",
     "LAST_EVENT_ID",
@@ -15,9 +13,11 @@
     "LOAD",
     "NOT_EXECUTED",
     "PROMPT_PARTS",
+    "REMAINING_DEADLINE_MS",
     "REQUEST_ID",
     "RETRY_AFTER_S",
-    "CLIENT_ACCOUNT",
+    "STRIPPED_FROM_REQUESTS",
+    "STRIPPED_FROM_RESPONSES",
     "TOKEN_COUNTS",
     "URGENCY",
 ]
--- a/src/beryljunction/platform/request_headers.py
+++ b/src/beryljunction/platform/request_headers.py
@@ -10,12 +10,12 @@
     "CallerHeaders",
     "REQUIRED_HEADERS",
     "endpoint_headers",
-    "was_not_executed",
-    "is_response_to",
     "has_leaving_header",
+    "is_response_to",
+    "parse_caller_headers",
     "parse_load",
     "parse_retry_after",
-    "parse_caller_headers",
+    "was_not_executed",
     "with_last_event_id",
 ]
 
--- a/src/beryljunction/platform/store.py
+++ b/src/beryljunction/platform/store.py
@@ -180,8 +180,8 @@
     async def read_newest(self, topic: Topic) -> NewestRecords | Unavailable:
         """Return the newest record of each key.
 
-        The pages are not an atomic snapshot, so `next_position` is the end of the topic at the first
-        page: records written while paging are read again from there.
+        The pages are not an atomic snapshot, so `next_position` is the end of the topic at the
+        first page: records written while paging are read again from there.
         """
         records: list[Record] = []
         first_end: int | None = None
--- a/src/beryljunction/settings/follower.py
+++ b/src/beryljunction/settings/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a reader up to date from the log, and from peers while the log is down."""
+"""Keeps the settings state up to date from the log, and from peers while the log is down."""
 
 import abc
 import random
@@ -78,7 +78,7 @@
 
 
 class SettingsFollower:
-    """Updates one reader: :meth:`run` in a process, :meth:`step` in tests with virtual time."""
+    """Updates one state: :meth:`run` in a process, :meth:`step` in tests with virtual time."""
 
     def __init__(
         self,
@@ -196,8 +196,8 @@
     async def _publish_snapshot(self) -> None:
         """Publish a snapshot unless another process already has; a duplicate is harmless.
 
-        Only a reader that has reached the end of the log publishes: a snapshot that is older than
-        the oldest kept record leaves a gap, so no reader could continue from it.
+        Only a process that has reached the end of the log publishes: a snapshot that is older than
+        the oldest kept record leaves a gap, so no process could continue from it.
         """
         page = await self._log.read(SNAPSHOTS_STREAM, self._snapshot_offset, _MAX_SNAPSHOTS_TRIED)
         if isinstance(page, ReadFailed):
--- a/src/beryljunction/settings/operator_session.py
+++ b/src/beryljunction/settings/operator_session.py
@@ -1,4 +1,4 @@
-"""Operations of an operator on the settings: read, check, publish and look up a change."""
+"""Operations of an operator on the settings: read, validate, publish and find a change."""
 
 import hashlib
 import hmac
@@ -43,7 +43,7 @@
 
 
 class OperatorSession:
-    """One operator's session; it has its own reader, which publishes no snapshots."""
+    """One operator's session; it has its own settings state and publishes no snapshots."""
 
     def __init__(
         self,
--- a/src/beryljunction/settings/publishing.py
+++ b/src/beryljunction/settings/publishing.py
@@ -10,14 +10,14 @@
 
 __all__ = [
     "AppendNow",
-    "InForce",
     "ChangeRefused",
+    "InForce",
     "NotPublished",
+    "OutcomeUnknown",
     "PublishOutcome",
-    "PublishStep",
     "PublishStateMachine",
+    "PublishStep",
     "WaitAndRead",
-    "OutcomeUnknown",
 ]
 
 _RETRY_S = 0.5
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class WaitAndRead:
-    """Wait, then read the log from the reader's version on."""
+    """Wait, then read the log from the state's version on."""
 
     wait_s: float
 
@@ -109,7 +109,7 @@
             self._has_read_to_end = False
 
     def on_record_applied(self, applied: AppliedRecord) -> None:
-        """Process a record that the reader applied; the first one with this id decides."""
+        """Process a record that was applied to the state; the first one with this id decides."""
         if applied.change_id != self.change.change_id or self._outcome is not None:
             return
         if isinstance(applied.verdict, Accepted):
@@ -118,7 +118,7 @@
             self._outcome = self._outcome_of_refusal(applied.verdict)
 
     def on_log_end(self) -> None:
-        """Note that the reader has reached the end of the log."""
+        """Note that the log was read to its end."""
         self._has_read_to_end = True
 
     def next_step(self, now_s: float) -> PublishStep:
--- a/src/beryljunction/settings/rules.py
+++ b/src/beryljunction/settings/rules.py
@@ -20,7 +20,7 @@
     WeightSettings,
 )
 
-__all__ = ["FieldRule", "value_problem", "rule_of"]
+__all__ = ["FieldRule", "rule_of", "value_problem"]
 
 _FIELD_BOUNDS: dict[str, tuple[float, float]] = {
     "load_multiple": (1.0, 10.0),
--- a/src/beryljunction/settings/schema.py
+++ b/src/beryljunction/settings/schema.py
@@ -9,11 +9,11 @@
 __all__ = [
     "AccountSettings",
     "EntryFile",
-    "ResolvedSettings",
     "LimitSettings",
     "OperatorFile",
     "OperatorSettings",
     "ProcessSettings",
+    "ResolvedSettings",
     "ServiceSettings",
     "SidecarFile",
     "TlsSettings",
--- a/src/beryljunction/settings/state.py
+++ b/src/beryljunction/settings/state.py
@@ -27,7 +27,7 @@
     Attributes:
         poison_records: Records that are not a valid change; every reader skips them.
         poison_snapshots: Snapshots that could not be decoded; another one is used.
-        gaps: Times that the log had dropped records before this reader got them.
+        gaps: Times that the log had dropped records before this process read them.
         unusable_values: Current number of values in force that this program version can't use; the
             value of a weaker scope is used instead.
         forks: Peers with a different tree at the same version; must never happen.
@@ -89,7 +89,7 @@
 
         A page may be late, repeated or overlap with an earlier one; records that are not newer are
         skipped. Nothing is applied across a gap: the dropped records may affect the verdicts on
-        later ones, so this reader would diverge from the others permanently.
+        later ones, so this state would diverge from the others permanently.
         """
         if page.first_offset > self.version + 1:
             self._record_gap()
--- a/src/beryljunction/settings/validation.py
+++ b/src/beryljunction/settings/validation.py
@@ -9,7 +9,7 @@
 from beryljunction.settings.schema import LimitSettings, ServiceSettings
 from beryljunction.settings.tree import SettingsTree
 
-__all__ = ["edits_between", "parse_leaves", "validate_tree", "dependencies_of", "tree_from_leaves"]
+__all__ = ["dependencies_of", "edits_between", "parse_leaves", "tree_from_leaves", "validate_tree"]
 
 # Groups of fields with a constraint between them. If two operators change one field each, both
 # changes may be valid against the tree that each saw while the result is not. So a change of one
--- a/testing/settings_simulation.py
+++ b/testing/settings_simulation.py
@@ -102,7 +102,7 @@
 
 @attrs.define(eq=False)
 class Node:
-    """A simulated process with its settings reader."""
+    """A simulated process with its settings state."""
 
     name: str
     owner: str
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -175,7 +175,7 @@
 
 
 class Fleet(threading.Thread):
-    """HTTP servers for the commands under test: a log, a host list and a process with a reader."""
+    """HTTP servers for the commands under test: a log, a host list and a process with settings."""
 
     def __init__(self):
         super().__init__(daemon=True)
