--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -320,7 +320,7 @@
         job.run = self._oracle.run(job.call.try_id, job.call.body, latest_s, self._clock())
 
     def _give_up(self, job: Job, refusal: Refusal) -> None:
-        """Refuse what has not started; a ticket is burned and its successor named."""
+        """Refuse what has not started; a ticket is retired and its successor named."""
         if job.serial is None:
             self._refuse(job, refusal)
             return
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -17,8 +17,8 @@
 
     A run claims its ticket before it is admitted, marks it as started just before the first byte
     is sent to the endpoint, and closes it with the answer or failure. The ticket of a run that
-    does not start is invalidated ("burned"). The refusal then names its successor, the only ticket
-    under which the request may be sent to another endpoint.
+    does not start is retired ("burned" in refusals). The refusal then names its successor, the only
+    ticket under which the request may be sent to another endpoint.
     """
 
     def __init__(self, ledger: TicketLedger) -> None:
@@ -38,7 +38,7 @@
         return self._ledger.claim(envelope.ticket or "", request, boot_time_s())
 
     def retire(self, serial: str, envelope: Envelope, refusal: Refusal) -> Refusal:
-        """Burn a ticket that has not started; return the refusal with its successor."""
+        """Retire a ticket that has not started; return the refusal with its successor."""
         retired = self._ledger.retire(serial, envelope.account, _candidate_stamps(envelope))
         return Refusal(
             refusal.code,
@@ -59,7 +59,7 @@
         return False
 
     def close(self, run: Run, started: bool) -> None:
-        """Record how a run ended; the ticket of a run that provably did not run is burned."""
+        """Record how a run ended; the ticket of a run that provably did not run is retired."""
         if run.serial is None:
             return
         if not started:
--- a/src/beryljunction/systems/recovery/handover.py
+++ b/src/beryljunction/systems/recovery/handover.py
@@ -11,8 +11,8 @@
 __all__ = [
     "HandoverLimits",
     "HandoverPlanner",
-    "TransferResult",
     "Transfer",
+    "TransferResult",
     "successor_of",
     "wants_prefix",
 ]
--- a/src/beryljunction/systems/recovery/orders.py
+++ b/src/beryljunction/systems/recovery/orders.py
@@ -1,4 +1,4 @@
-"""Reconciles an engine's models and adapters with the wanted state (level-triggered)."""
+"""Reconciles an engine's models and adapters with the desired state (level-triggered)."""
 
 import random
 
@@ -7,7 +7,7 @@
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.tables.orders import DesiredState, EngineState
 
-__all__ = ["NoOrder", "AwaitRollout", "Order", "OrderStep", "EngineReconciler", "desired_state_of"]
+__all__ = ["AwaitRollout", "EngineReconciler", "NoOrder", "Order", "OrderStep", "desired_state_of"]
 
 _MIN_RETRY_S = 2.0
 _MAX_RETRY_S = 120.0
@@ -57,7 +57,7 @@
 
 
 class EngineReconciler:
-    """Compares an engine's state with the wanted state and decides the next order.
+    """Compares an engine's state with the desired state and decides the next order.
 
     It does not rely on earlier orders: after a lost answer, a paused or replaced sidecar, or an
     engine that ignores the fencing token, the engine may be in a state that its sidecar did not
@@ -72,7 +72,7 @@
         self._retry_at_s = 0.0
 
     def decide(self, desired: DesiredState, state: EngineState, now_s: float) -> OrderStep:
-        """Return the next step towards the wanted state."""
+        """Return the next step towards the desired state."""
         if state.fence is not None and state.fence > desired.fence:
             # Another sidecar of this slot, or this one before a restart, had newer settings.
             return NoOrder(
--- a/src/beryljunction/systems/recovery/rollout.py
+++ b/src/beryljunction/systems/recovery/rollout.py
@@ -14,7 +14,7 @@
 
 from beryljunction.tables.orders import OrderRow, Phase
 
-__all__ = ["LoadAllowed", "RolloutLimits", "PeerRolloutPolicy", "LoadDelayed"]
+__all__ = ["LoadAllowed", "LoadDelayed", "PeerRolloutPolicy", "RolloutLimits"]
 
 # Time between announcement and start, in which every other endpoint has asked this one or been
 # asked. Host lists may differ for seconds, but if one of two endpoints lists the other, it asks and
--- a/src/beryljunction/systems/recovery/turns.py
+++ b/src/beryljunction/systems/recovery/turns.py
@@ -23,7 +23,7 @@
 from beryljunction.tables.orders import OrderRow
 from beryljunction.tables.turns import Turn, TurnQueue
 
-__all__ = ["EndTurn", "RenewTurn", "TakeTurn", "TurnStep", "TurnRolloutPolicy"]
+__all__ = ["EndTurn", "RenewTurn", "TakeTurn", "TurnRolloutPolicy", "TurnStep"]
 
 # A new version for all 700 endpoints causes at least three appends for each, and the log accepts
 # several hundred per second, including operators' changes and key claims. So takes are spread over
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -21,11 +21,11 @@
 
 __all__ = [
     "Admission",
-    "AdmissionLimits",
     "AdmissionController",
+    "AdmissionLimits",
+    "AdmissionQueued",
     "AdmissionRefused",
     "AdmissionStarted",
-    "AdmissionQueued",
 ]
 
 _PAUSED_RETRY_S = 1.0
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -9,7 +9,7 @@
 from beryljunction.systems.requests.retries import RetryBudget
 from beryljunction.tables import Endpoint, EndpointState
 
-__all__ = ["RequestAttempts", "GiveUp", "Step", "Try"]
+__all__ = ["GiveUp", "RequestAttempts", "Step", "Try"]
 
 _MAX_SPILLS = 3
 _MAX_FAILOVERS = 3
--- a/src/beryljunction/systems/requests/load.py
+++ b/src/beryljunction/systems/requests/load.py
@@ -66,7 +66,8 @@
         running: Most running requests.
         cold_running: Running requests from which one without a cached prefix goes elsewhere.
         work_tokens: Most estimated tokens of the running requests.
-        fleet_full: Whether the whole fleet is at its limits, so that no other endpoint has room either.
+        fleet_full: Whether the whole fleet is at its limits, so that no other endpoint has room
+            either.
     """
 
     running: int
--- a/src/beryljunction/systems/requests/placement.py
+++ b/src/beryljunction/systems/requests/placement.py
@@ -11,7 +11,7 @@
 
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 
-__all__ = ["PlacementQuery", "EndpointSelector", "chat_key_of", "rendezvous_score"]
+__all__ = ["EndpointSelector", "PlacementQuery", "chat_key_of", "rendezvous_score"]
 
 _HASH_RANGE = float(2**64)
 _DEFAULT_YOUNG_S = 60.0
--- a/src/beryljunction/systems/requests/queueing.py
+++ b/src/beryljunction/systems/requests/queueing.py
@@ -39,7 +39,8 @@
         """Remove and return the request to start next, or None, and count it as running.
 
         Args:
-            below_share_only: Whether only accounts below their fair share of running requests may start.
+            below_share_only: Whether only accounts below their fair share of running requests may
+                start.
         """
         request = self._scan_ring(below_share_only)
         if request is None and self._skip_rounds(below_share_only):
--- a/src/beryljunction/systems/state/key_claim_table.py
+++ b/src/beryljunction/systems/state/key_claim_table.py
@@ -4,7 +4,7 @@
 
 from beryljunction.systems.state.key_claims import KeyClaim
 
-__all__ = ["StoredClaim", "KeyClaimTable"]
+__all__ = ["KeyClaimTable", "StoredClaim"]
 
 
 @attrs.define
@@ -17,7 +17,7 @@
     sure_s: float
     next_claim: "StoredClaim | None" = None
 
-    def queue(self, other: "HeldClaim") -> None:
+    def queue(self, other: "StoredClaim") -> None:
         """Append a later claim to this key's list; a second copy of a claim is ignored."""
         row = self
         while row.ticket != other.ticket:
--- a/src/beryljunction/systems/state/ticket_attempts.py
+++ b/src/beryljunction/systems/state/ticket_attempts.py
@@ -8,16 +8,16 @@
 
 __all__ = ["Mint", "TicketAttempts", "TicketStep", "UseTicket"]
 
-# A successor replaces a burned ticket after a refusal. Three refusals find room if a fair share of
+# A successor replaces a retired ticket after a refusal. Three refusals find room if a fair share of
 # the endpoints has any; more hops would try every endpoint while all are busy.
 _MAX_HOPS = 4
 # A repeat with the same ticket is safe, because its sidecar knows the outcome of the first try. Two
 # repeats get over a broken connection; if the sidecar is gone, more would only delay the answer.
 _MAX_REPEATS = 2
-# Refusals that burned the ticket before anything ran, after which a new one may be minted. The
+# Refusals that retired the ticket before anything ran, after which a new one may be minted. The
 # sidecar names no successor to an entry that has just started and knows no other sidecar's stamp;
 # without a new ticket its caller would get a "not run" while other endpoints have room.
-_BURNED_CODES = frozenset((RefusalCode.LEAVING, RefusalCode.OVERLOADED, RefusalCode.QUEUE_FULL))
+_RETIRED_CODES = frozenset((RefusalCode.LEAVING, RefusalCode.OVERLOADED, RefusalCode.QUEUE_FULL))
 # Each unreachable sidecar costs a second; giving up after four saves the caller's remaining time.
 _MAX_MINTS = 4
 
@@ -87,7 +87,7 @@
             return self._mint_for_new_incarnation(refusal, self._minted)
         if refusal.code is RefusalCode.STALE_STAMP:
             return self._resend(refusal, ticket)
-        if refusal.code in _BURNED_CODES and refusal.ran is Ran.NO and not self._in_doubt:
+        if refusal.code in _RETIRED_CODES and refusal.ran is Ran.NO and not self._in_doubt:
             return self._mint_next(refusal)
         if refusal.code is not RefusalCode.ENDPOINT_FAILED or refusal.ran is not Ran.NO:
             return self._repeat_if_unknown(refusal, ticket)
@@ -99,7 +99,7 @@
         )
 
     def _use_successor(self, successor: str) -> TicketStep:
-        """Use the successor, which every other holder of the burned ticket is given too."""
+        """Use the successor, which every other holder of the retired ticket is given too."""
         self._hops += 1
         self._in_doubt = True
         self._minted = None
--- a/src/beryljunction/systems/state/ticket_claims.py
+++ b/src/beryljunction/systems/state/ticket_claims.py
@@ -7,9 +7,6 @@
 
 __all__ = [
     "AlreadyRunning",
-    "TicketClaimRequest",
-    "TicketRetired",
-    "TicketClaimResult",
     "Expired",
     "Failed",
     "Full",
@@ -17,6 +14,9 @@
     "Mismatch",
     "Replay",
     "Run",
+    "TicketClaimRequest",
+    "TicketClaimResult",
+    "TicketRetired",
     "Unstamped",
     "Unverified",
     "WrongIncarnation",
@@ -36,7 +36,7 @@
         heard: Stamp that the entry received last from this sidecar. The request is not run unless
             the stamp is from the sidecar's current incarnation.
         heard_age_s: Age of that stamp when the request was sent, by the entry's monotonic clock.
-        candidates: Stamps of sidecars that may get the successor of a burned ticket.
+        candidates: Stamps of sidecars that may get the successor of a retired ticket.
     """
 
     account: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Run:
-    """The claim is the first: the request may be admitted; then start it or burn the ticket."""
+    """The claim is the first: the request may be admitted; then start it or retire the ticket."""
 
     serial: str
 
@@ -83,8 +83,8 @@
 
     Attributes:
         successor: The only ticket that may replace it; None until one is minted.
-        fresh: Whether this call burned the ticket or minted the successor, so that no other process
-            can have used the successor yet.
+        fresh: Whether this call retired the ticket or minted the successor, so that no other
+            process can have used the successor yet.
     """
 
     successor: str | None
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -57,7 +57,7 @@
 class TicketLedger:
     """Decides for each ticket whether its request may run here, and records the outcome.
 
-    The order of calls is claim, start, finish or fail; burn takes the place of start.
+    The order of calls is claim, start, finish or fail; retire takes the place of start.
     """
 
     def __init__(
@@ -114,10 +114,10 @@
     def start(self, serial: str, now_s: float) -> bool:
         """Mark a claimed ticket as running, just before the first byte goes to the endpoint.
 
-        Returns False and burns the ticket if the deadline has passed: after a pause, a sidecar may
-        have waiting requests whose callers were told "unknown" long ago and may have acted on it.
-        The deadline is checked here, after the last point where the process could have been delayed
-        for long, and by a clock that a pause does not stop.
+        Returns False and retires the ticket if the deadline has passed: after a pause, a sidecar
+        may have waiting requests whose callers were told "unknown" long ago and may have acted on
+        it. The deadline is checked here, after the last point where the process could have been
+        delayed for long, and by a clock that a pause does not stop.
         """
         row = self._row(serial)
         if row.state is not TicketState.CLAIMED:
@@ -138,7 +138,7 @@
     def fail(self, serial: str, refusal: Refusal) -> None:
         """Record how a started request failed.
 
-        With ``ran: "no"`` (no byte reached the endpoint) the ticket is burned and its request may
+        With ``ran: "no"`` (no byte reached the endpoint) the ticket is retired and its request may
         run elsewhere; otherwise it is never run again.
         """
         row = self._row(serial)
@@ -152,7 +152,7 @@
         """Invalidate a ticket that has not started and mint its only successor.
 
         Two entries that try the same ticket at once get the same successor. If each entry minted
-        its own, both requests would run. A burned ticket may be burned again: it keeps its
+        its own, both requests would run. A retired ticket may be retired again: it keeps its
         successor, or gets one now if it has none.
 
         Args:
--- a/src/beryljunction/systems/state/tombstones.py
+++ b/src/beryljunction/systems/state/tombstones.py
@@ -12,7 +12,7 @@
 from beryljunction.systems.state.incarnation_clock import IncarnationClock, IssueValidity
 from beryljunction.tables import Stamp
 
-__all__ = ["Arrival", "OutcomeAnswer", "TombstoneLimits", "RequestTombstones"]
+__all__ = ["Arrival", "OutcomeAnswer", "RequestTombstones", "TombstoneLimits"]
 
 
 class Arrival(enum.StrEnum):
--- a/src/beryljunction/tables/__init__.py
+++ b/src/beryljunction/tables/__init__.py
@@ -29,11 +29,11 @@
     "Prefix",
     "PrefixTable",
     "RequestTable",
+    "SidecarRequest",
+    "SidecarRequestState",
     "Stamp",
     "Ticket",
     "TicketRow",
     "TicketState",
     "TicketTable",
-    "SidecarRequest",
-    "SidecarRequestState",
 ]
--- a/src/beryljunction/tables/orders.py
+++ b/src/beryljunction/tables/orders.py
@@ -1,4 +1,4 @@
-"""Wanted and actual state of engines, and the rollout progress of each endpoint."""
+"""Desired and actual state of engines, and the rollout progress of each endpoint."""
 
 import enum
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 import attrs
 
-__all__ = ["EngineState", "OrderRow", "OrderRowTable", "Phase", "DesiredState"]
+__all__ = ["DesiredState", "EngineState", "OrderRow", "OrderRowTable", "Phase"]
 
 
 class Phase(enum.StrEnum):
@@ -63,11 +63,11 @@
         return bool(self.loading or self.loading_adapters)
 
     def serves(self, desired: DesiredState) -> bool:
-        """Whether every wanted model can be served, possibly in an older version."""
+        """Whether every desired model can be served, possibly in an older version."""
         return not self.is_loading and desired.models.keys() <= self.models.keys()
 
     def fulfils(self, desired: DesiredState) -> bool:
-        """Whether the engine's state equals the wanted state."""
+        """Whether the engine's state equals the desired state."""
         has = (self.models, set(self.adapters), self.role)
         wants = (desired.models, set(desired.adapters), desired.role)
         return not self.is_loading and has == wants
--- a/src/beryljunction/tables/peers.py
+++ b/src/beryljunction/tables/peers.py
@@ -19,7 +19,7 @@
 
     Attributes:
         received_s: Local monotonic time at which the row was received.
-        first_received_s: Local monotonic time at which the first row of this incarnation was received.
+        first_received_s: The same for the first row of this incarnation.
         is_ignored: Whether the peer left or did not answer since.
         previous_incarnation: Incarnation that this one replaced; empty if none was known.
     """
@@ -32,7 +32,7 @@
 
 
 class PeerTable:
-    """Newest load row of each peer; only :meth:`merge` considers silent peers."""
+    """Newest load row of each peer; only :meth:`merge` considers ignored peers."""
 
     def __init__(self) -> None:
         self._rows: dict[str, PeerLoad] = {}
@@ -44,7 +44,7 @@
         return iter([peer for peer in self._rows.values() if not peer.is_ignored])
 
     def get(self, endpoint_id: str) -> PeerLoad | None:
-        """Return the newest row of an endpoint, or None if it is unknown or silent."""
+        """Return the newest row of an endpoint, or None if it is unknown or ignored."""
         peer = self._rows.get(endpoint_id)
         return None if peer is None or peer.is_ignored else peer
 
--- a/src/beryljunction/tables/tickets.py
+++ b/src/beryljunction/tables/tickets.py
@@ -88,7 +88,7 @@
         expires_ms: Sidecar time up to which a claim may still find this row.
         answer: The whole answer; None until the request has finished, or if it was too large.
         refusal: Refusal with which a started request failed.
-        successor: The only ticket that may replace a burned one; None until one is minted.
+        successor: The only ticket that may replace a retired one; None until one is minted.
     """
 
     serial: str
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -178,7 +178,7 @@
     patch.setattr(RequestTombstones, "query_outcome", query_outcome)
 
 
-def burn_what_may_have_run(patch):
+def retire_what_may_have_run(patch):
     def fail(self, serial, refusal):
         self._row(serial).state = TicketState.RETIRED
 
@@ -234,7 +234,7 @@
     (replace_tickets_in_doubt, "ran twice|told no"),
     (pass_on_frames_twice, "expected one of"),
     (leave_no_tombstone, "called not run, (but|then) ran|told no"),
-    (burn_what_may_have_run, "ran twice|told no"),
+    (retire_what_may_have_run, "ran twice|told no"),
     (pass_on_frames_after_a_gap, "expected one of"),
     (take_work_while_leaving, "took new work"),
     (number_comments, "expected one of"),
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -101,7 +101,7 @@
         assert claim_refusal(retired).ran is Ran.NO
         assert claim_refusal(later).ran is Ran.UNKNOWN
 
-    def test_burned_ticket_without_successor_gets_one_from_a_later_try(self):
+    def test_retired_ticket_without_successor_gets_one_from_a_later_try(self):
         here = ledger()
         ticket = here.mint("federation", 1000.0)
         run = here.claim(ticket, ask(), 1001.0)
