--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -33,6 +33,7 @@
     ChatDirectory,
     ClaimBatch,
     ClaimLimits,
+    FirstClaim,
     KeyClaimResolver,
     KeyLost,
     KeyVerdict,
@@ -42,7 +43,6 @@
     OutcomeAnswer,
     Replay,
     RequestTombstones,
-    Run,
     TicketClaimRequest,
     TicketLedger,
     TicketMint,
@@ -255,7 +255,7 @@
             call.candidates,
         )
         claim = self.ledger.claim(ticket, request, self.now_s)
-        if isinstance(claim, Run):
+        if isinstance(claim, FirstClaim):
             job.serial = claim.serial
             self._by_serial[claim.serial] = job
             self._admit(job)
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -22,6 +22,7 @@
     AlreadyRunning,
     Arrival,
     ChatDirectory,
+    FirstClaim,
     LoadTracker,
     OutcomeAnswer,
     Replay,
@@ -30,7 +31,6 @@
     TicketMint,
     claim_refusal,
 )
-from beryljunction.systems import Run as Claimed
 from beryljunction.tables import Answer, Prefix, PrefixTable, SidecarRequest, Stamp
 from beryljunction.timeline import Timeline
 from beryljunction.watches import WatchList
@@ -157,7 +157,7 @@
             return claim.answer
         if isinstance(claim, AlreadyRunning):
             return self._join_run(claim, envelope)
-        if isinstance(claim, Claimed):
+        if isinstance(claim, FirstClaim):
             run = Run(
                 envelope, body, FrameLog(self._frame_log_bytes(envelope)), serial=claim.serial
             )
--- a/src/beryljunction/systems/recovery/handover.py
+++ b/src/beryljunction/systems/recovery/handover.py
@@ -46,9 +46,9 @@
         total_bytes: Most bytes of cached state to transfer. They go from engine to engine over the
             network that answers use too.
         token_bytes: Bytes of cached state per token.
-        hot_s: Age of a chat's last answer above which its prefix is not transferred. Most chats
-            return within minutes, and each import evicts state at the successor that may be needed
-            sooner.
+        max_idle_s: Age of a chat's last answer above which its prefix is not transferred. Most
+            chats return within minutes, and each import evicts state at the successor that may be
+            needed sooner.
         least_tokens: Length below which a prefix is not transferred: the two calls of a transfer
             take some milliseconds, as does the prefill of so many tokens.
         least_transfer_s: Time that every transfer may take, to allow for a busy event loop.
@@ -57,7 +57,7 @@
 
     total_bytes: int = 2**36
     token_bytes: int = 131_072
-    hot_s: float = 600.0
+    max_idle_s: float = 600.0
     least_tokens: int = 64
     least_transfer_s: float = 0.5
     prefill_tokens_per_s: float = 20_000.0
@@ -119,7 +119,7 @@
         """
         placement = EndpointSelector(members, region=self._region)
         for row in prefixes.newest_first():
-            if now_s - row.used_s > self.limits.hot_s:
+            if now_s - row.used_s > self.limits.max_idle_s:
                 return
             if row.chat_key in self._handled or row.chat_key in busy:
                 continue
--- a/src/beryljunction/systems/state/ticket_claims.py
+++ b/src/beryljunction/systems/state/ticket_claims.py
@@ -9,11 +9,11 @@
     "AlreadyRunning",
     "Expired",
     "Failed",
+    "FirstClaim",
     "Full",
     "Invalid",
     "Mismatch",
     "Replay",
-    "Run",
     "TicketClaimRequest",
     "TicketClaimResult",
     "TicketRetired",
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Run:
+class FirstClaim:
     """The claim is the first: the request may be admitted; then start it or retire the ticket."""
 
     serial: str
@@ -131,7 +131,7 @@
 
 
 TicketClaimResult = (
-    Run
+    FirstClaim
     | AlreadyRunning
     | Replay
     | Failed
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -18,11 +18,11 @@
     AlreadyRunning,
     Expired,
     Failed,
+    FirstClaim,
     Full,
     Invalid,
     Mismatch,
     Replay,
-    Run,
     TicketClaimRequest,
     TicketClaimResult,
     TicketRetired,
@@ -208,7 +208,7 @@
         )
         self.table.add(row)
         self._by_age.append(row)
-        return Run(ticket.serial)
+        return FirstClaim(ticket.serial)
 
     def _deadline_ms(self, request: TicketClaimRequest, now_s: float) -> int:
         assert request.heard is not None
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -9,12 +9,12 @@
 from beryljunction.streams import FrameNumberer, SequenceChecker, event_position
 from beryljunction.systems import (
     AdmissionController,
+    FirstClaim,
     IncarnationClock,
     KeyClaimResolver,
     KeyWon,
     OutcomeAnswer,
     RequestTombstones,
-    Run,
     TicketLedger,
 )
 from beryljunction.systems.state.ticket_attempts import TicketAttempts
@@ -122,7 +122,7 @@
         row = self.table.get(ticket.serial) if ticket else None
         if row is not None and row.state is TicketState.RUNNING:
             row.state = TicketState.CLAIMED
-            return Run(ticket.serial)
+            return FirstClaim(ticket.serial)
         return claimed
 
     patch.setattr(TicketLedger, "claim", claim)
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -54,7 +54,7 @@
         [
             pytest.param({}, set(), [3, 2, 1], id="last answered first"),
             pytest.param({}, {3}, [2, 1], id="chat in flight waits"),
-            pytest.param({"hot_s": 15.0}, set(), [3, 2], id="cold chat stays"),
+            pytest.param({"max_idle_s": 15.0}, set(), [3, 2], id="cold chat stays"),
             pytest.param({"least_tokens": 150}, set(), [3, 2], id="short prefix stays"),
         ],
     )
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -6,6 +6,7 @@
     Arrival,
     Expired,
     Failed,
+    FirstClaim,
     Full,
     Invalid,
     LedgerLimits,
@@ -13,7 +14,6 @@
     OutcomeAnswer,
     Replay,
     RequestTombstones,
-    Run,
     TicketClaimRequest,
     TicketLedger,
     TicketMint,
@@ -50,7 +50,7 @@
         first = here.claim(ticket, ask("r1"), 1001.0)
         second = here.claim(ticket, ask("r2"), 1002.0)
 
-        assert isinstance(first, Run)
+        assert isinstance(first, FirstClaim)
         assert second == AlreadyRunning(first.serial, "r1")
 
     def test_finished_answer_is_replayed(self):
@@ -121,7 +121,7 @@
 
         assert there.claim(successor, ask(digest="d2"), 1002.0) == Mismatch()
         heard = there.stamp(1001.0)
-        assert isinstance(there.claim(successor, ask(digest="d1", heard=heard), 1002.0), Run)
+        assert isinstance(there.claim(successor, ask(digest="d1", heard=heard), 1002.0), FirstClaim)
 
     @pytest.mark.parametrize(
         ("failure", "expected"),
@@ -227,7 +227,9 @@
         assert refused == Full()
         assert claim_refusal(refused).ran is Ran.NO
         assert (late, len(here.table)) == (Full(), 0)
-        assert isinstance(here.claim(here.mint("federation", 1102.0), ask("r6"), 1102.0), Run)
+        assert isinstance(
+            here.claim(here.mint("federation", 1102.0), ask("r6"), 1102.0), FirstClaim
+        )
 
     def test_full_ledger_still_finds_its_rows(self):
         here = ledger()
