--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -20,7 +20,7 @@
 from beryljunction.sidecar.keeper import RunKeeper
 from beryljunction.sidecar.keys import KeyClaims
 from beryljunction.sidecar.prefixes import PrefixHandover, PrefixReceiver
-from beryljunction.sidecar.readers import Place, serve_reader
+from beryljunction.sidecar.readers import ReadRequest, serve_reader
 from beryljunction.sidecar.writers import Writer
 from beryljunction.stops import Stoppable
 from beryljunction.stores import HttpLogClient
@@ -200,8 +200,10 @@
             self.timeline.add("replayed", envelope.request_id)
             await call.writer.answer(result)
         else:
-            place = Place(envelope.request_id, 0, self._pending_timeout_s)
-            await serve_reader(result, self.keeper.name(result), place, call.receive, call.writer)
+            read_request = ReadRequest(envelope.request_id, 0, self._pending_timeout_s)
+            await serve_reader(
+                result, self.keeper.name(result), read_request, call.receive, call.writer
+            )
 
     async def _handle_attach(self, call: Call) -> None:
         attach = await call.message(Attach)
@@ -212,8 +214,10 @@
             await call.writer.refuse(run, attach.request_id)
             return
         self.timeline.add("attached", attach.request_id, str(attach.after))
-        place = Place(attach.request_id, attach.after, self._pending_timeout_s, alone=attach.resume)
-        await serve_reader(run, self.keeper.name(run), place, call.receive, call.writer)
+        read_request = ReadRequest(
+            attach.request_id, attach.after, self._pending_timeout_s, exclusive=attach.resume
+        )
+        await serve_reader(run, self.keeper.name(run), read_request, call.receive, call.writer)
 
     async def _handle_cancel(self, call: Call) -> None:
         cancel = await call.message(Cancel)
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -122,7 +122,7 @@
         """Run the background tasks until cancelled."""
         async with self._pool, anyio.create_task_group() as self._group:
             self._group.start_soon(self.watches.run)
-            self._group.start_soon(self._beat_and_expire)
+            self._group.start_soon(self._send_heartbeats_and_expire)
             task_status.started()
             while True:
                 await anyio.sleep(_TICK_S)
@@ -141,7 +141,7 @@
         if arrival in _ARRIVAL_REFUSALS:
             return _arrival_refusal(arrival, envelope)
         existing = self.runs.get(envelope.request_id)
-        if existing is not None and not existing.refused_unrun:
+        if existing is not None and not existing.ended_without_running:
             return existing
         if arrival is Arrival.DUPLICATE and envelope.ticket is None:
             message = "this try was here before and its answer is no longer kept"
@@ -254,7 +254,7 @@
             self.tombstones.query_outcome(_attempt_id(cancel), stamp, 0.0, boot_time_s())
             return
         is_over = run.ended_s is not None or run.envelope.account != cancel.account
-        if not is_over and run.may_be_cut and not run.envelope.streamed:
+        if not is_over and run.may_be_cancelled and not run.envelope.streamed:
             run.scope.cancel()
 
     def name(self, run: Run) -> StreamName:
@@ -268,15 +268,15 @@
                 continue
             if isinstance(decision, AdmissionRefused):
                 run.refusal = decision.refusal
-            run.decided.set()
+            run.admission_decided.set()
 
-    async def _beat_and_expire(self) -> None:
+    async def _send_heartbeats_and_expire(self) -> None:
         """Send heartbeats on idle streams, and cancel or remove runs without readers."""
         while True:
             await anyio.sleep(self.service.heartbeat_s)
             for run in self.runs:
                 for reader in run.readers if run.streaming else ():
-                    reader.beat_if_quiet(run.changed)
+                    reader.request_heartbeat_if_idle(run.data_available)
             for run in self.runs.expire(time.monotonic(), self._resume_s):
                 run.scope.cancel()
 
@@ -285,7 +285,7 @@
         started = False
         try:
             with run.scope:
-                await run.decided.wait()
+                await run.admission_decided.wait()
                 started = run.refusal is None and self._ledger.start(run)
                 if started:
                     self._timeline.add("started", request_id)
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -17,66 +17,66 @@
 from beryljunction.streams import HEARTBEAT, StreamName, error_event
 from beryljunction.wire import refusal_body
 
-__all__ = ["Place", "serve_reader"]
+__all__ = ["ReadRequest", "serve_reader"]
 
 
 @attrs.frozen
-class Place:
+class ReadRequest:
     """Who reads a run, and from which position.
 
     Attributes:
         request_id: The reader's own request, which has only one connection at a time.
         after: Sequence number of the last frame that the reader has.
         pending_s: Time in seconds after which a reader with no data is told to ask again.
-        alone: Whether all other connections to the run are closed.
+        exclusive: Whether all other connections to the run are closed.
     """
 
     request_id: str
     after: int
     pending_s: float
-    alone: bool = False
+    exclusive: bool = False
 
 
 async def serve_reader(
-    run: Run, name: StreamName, place: Place, receive: Receive, writer: Writer
+    run: Run, name: StreamName, read_request: ReadRequest, receive: Receive, writer: Writer
 ) -> None:
     """Write the answer from a position on until it ends or the reader disconnects.
 
     Args:
         run: The run to read.
         name: Name of the run's stream.
-        place: The reader and its position.
+        read_request: The reader and its position.
         receive: ASGI receive channel, which signals a disconnect.
         writer: Writes to the connection.
     """
     async with anyio.create_task_group() as group:
-        reader = Reader(place.request_id, group.cancel_scope)
-        run.take_reader(reader, place.alone)
+        reader = Reader(read_request.request_id, group.cancel_scope)
+        run.add_reader(reader, read_request.exclusive)
         try:
             group.start_soon(wait_disconnect, receive, group.cancel_scope)
-            await _write_answer(run, reader, name, place, writer)
+            await _write_answer(run, reader, name, read_request, writer)
         finally:
-            run.drop_reader(reader, time.monotonic())
+            run.remove_reader(reader, time.monotonic())
         group.cancel_scope.cancel()
 
 
 async def _write_answer(
-    run: Run, reader: Reader, name: StreamName, place: Place, writer: Writer
+    run: Run, reader: Reader, name: StreamName, read_request: ReadRequest, writer: Writer
 ) -> None:
-    with anyio.move_on_after(place.pending_s):
+    with anyio.move_on_after(read_request.pending_s):
         while not run.readable:
-            await run.changed.wait()
+            await run.data_available.wait()
     if not run.readable:
         await writer.pending()
     elif run.answer is not None:
         await writer.answer(run.answer)
     elif not run.streaming:
-        await writer.refuse(_end_refusal(run), place.request_id)
-    elif not run.log.reaches(place.after):
-        await writer.refuse(_dropped_frames_refusal(place.after), place.request_id)
+        await writer.refuse(_end_refusal(run), read_request.request_id)
+    elif not run.log.reaches(read_request.after):
+        await writer.refuse(_dropped_frames_refusal(read_request.after), read_request.request_id)
     else:
         await writer.open_stream(name)
-        await _write_stream(run, reader, place.after, writer)
+        await _write_stream(run, reader, read_request.after, writer)
 
 
 async def _write_stream(run: Run, reader: Reader, after: int, writer: Writer) -> None:
@@ -86,15 +86,15 @@
         if log.last > after:
             data = log.after(after)
             after = log.last
-            run.given.notify()
+            run.data_read.notify()
         elif run.ended_s is not None:
             break
-        elif reader.beat:
+        elif reader.heartbeat_due:
             data = HEARTBEAT
         else:
-            await run.changed.wait()
+            await run.data_available.wait()
             continue
-        reader.quiet = reader.beat = False
+        reader.idle = reader.heartbeat_due = False
         await send({"type": "http.response.body", "body": data, "more_body": True})
     refusal = _end_refusal(run) if log.reaches(after) else _dropped_frames_refusal(after)
     is_complete = run.complete and after == log.last
--- a/src/beryljunction/sidecar/runs.py
+++ b/src/beryljunction/sidecar/runs.py
@@ -11,12 +11,12 @@
 from beryljunction.tables import Answer
 from beryljunction.wire import Envelope
 
-__all__ = ["Reader", "Run", "RunTable", "Signal"]
+__all__ = ["Reader", "Run", "RunTable", "ReusableEvent"]
 
 _DEFAULT_KEPT_TOTAL_BYTES = 8_388_608
 
 
-class Signal:
+class ReusableEvent:
     """Reusable event for one waiting task, notified once per chunk.
 
     It wraps asyncio's event, since the servers always run on asyncio. anyio's events cannot be
@@ -38,21 +38,21 @@
     """A connection that currently reads a run.
 
     Attributes:
-        quiet: Whether nothing was written since the last heartbeat check.
-        beat: Whether a heartbeat is due.
+        idle: Whether nothing was written since the last heartbeat check.
+        heartbeat_due: Whether a heartbeat is due.
     """
 
     request_id: str
     scope: anyio.CancelScope
-    quiet: bool = False
-    beat: bool = False
+    idle: bool = False
+    heartbeat_due: bool = False
 
-    def beat_if_quiet(self, changed: Signal) -> None:
+    def request_heartbeat_if_idle(self, data_available: ReusableEvent) -> None:
         """Request a heartbeat if nothing was written since the last call."""
-        if self.quiet:
-            self.beat = True
-            changed.notify()
-        self.quiet = True
+        if self.idle:
+            self.heartbeat_due = True
+            data_available.notify()
+        self.idle = True
 
 
 @attrs.define(eq=False)
@@ -61,14 +61,14 @@
 
     Attributes:
         ran: Whether the endpoint ran the request, as far as this sidecar can prove it.
-        decided: Set when the request may start or was refused.
+        admission_decided: Set when the request may start or was refused.
         scope: Cancelled to end the run.
-        changed: Notified when there is new data to read.
-        given: Notified when a reader has read frames.
+        data_available: Notified when there is new data to read.
+        data_read: Notified when a reader has read frames.
         streaming: Whether the answer is a stream; frames are in ``log``.
         complete: Whether the stream ended cleanly.
         serial: Serial number of its ticket; None for idempotent requests.
-        joined: Ids of other requests that read this run.
+        joined_request_ids: Ids of other requests that read this run.
         refusal: Why the run was refused, failed or ended early; None if it did not.
         detached_s: Monotonic time at which the last reader disconnected; None while there is one.
         ended_s: Monotonic time at which the run ended; None before.
@@ -78,16 +78,16 @@
     body: bytes
     log: FrameLog
     ran: Ran = Ran.NO
-    decided: anyio.Event = attrs.field(factory=anyio.Event)
+    admission_decided: anyio.Event = attrs.field(factory=anyio.Event)
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
-    changed: Signal = attrs.field(factory=Signal)
-    given: Signal = attrs.field(factory=Signal)
+    data_available: ReusableEvent = attrs.field(factory=ReusableEvent)
+    data_read: ReusableEvent = attrs.field(factory=ReusableEvent)
     streaming: bool = False
     complete: bool = False
     answer: Answer | None = None
     refusal: Refusal | None = None
     serial: str | None = None
-    joined: list[str] = attrs.field(factory=list)
+    joined_request_ids: list[str] = attrs.field(factory=list)
     readers: list[Reader] = attrs.field(factory=list)
     detached_s: float | None = None
     ended_s: float | None = None
@@ -98,7 +98,7 @@
         return self.streaming or self.ended_s is not None
 
     @property
-    def refused_unrun(self) -> bool:
+    def ended_without_running(self) -> bool:
         """Whether the run ended without having run; the entry may send the request here again."""
         return self.ended_s is not None and self.ran is Ran.NO
 
@@ -108,7 +108,7 @@
         return self.log.size_bytes + (len(self.answer.body) if self.answer is not None else 0)
 
     @property
-    def may_be_cut(self) -> bool:
+    def may_be_cancelled(self) -> bool:
         """Whether the run may be cancelled.
 
         A non-idempotent request that may have started runs to its end. Cancelling it would leave
@@ -120,29 +120,29 @@
         """Append frames to the log; wait while the reader lags by more than the log's bound."""
         self.streaming = True
         self.log.append(frames)
-        self.changed.notify()
+        self.data_available.notify()
         while self.log.full:
-            await self.given.wait()
+            await self.data_read.wait()
 
     def end(self, now_s: float) -> None:
         """Mark the run as ended and notify its readers."""
         self.ended_s = now_s
-        self.changed.notify()
+        self.data_available.notify()
 
-    def take_reader(self, reader: Reader, alone: bool) -> None:
+    def add_reader(self, reader: Reader, exclusive: bool) -> None:
         """Add a reader, which replaces earlier connections of the same request, or all if `alone`.
 
         A dead connection may stay open for a quarter of an hour. When its request reconnects, the
         old connection must not count as a reader for that time.
         """
         for other in tuple(self.readers):
-            if alone or other.request_id == reader.request_id:
+            if exclusive or other.request_id == reader.request_id:
                 other.scope.cancel()
                 self.readers.remove(other)
         self.readers.append(reader)
         self.detached_s = None
 
-    def drop_reader(self, reader: Reader, now_s: float) -> None:
+    def remove_reader(self, reader: Reader, now_s: float) -> None:
         """Remove a reader whose connection ended; ignored if it was replaced before."""
         if reader in self.readers:
             self.readers.remove(reader)
@@ -150,7 +150,7 @@
 
     def is_abandoned(self, now_s: float, resume_s: float) -> bool:
         """Whether to cancel the run because it had no reader for longer than `resume_s`."""
-        if self.ended_s is not None or self.detached_s is None or not self.may_be_cut:
+        if self.ended_s is not None or self.detached_s is None or not self.may_be_cancelled:
             return False
         return now_s - self.detached_s > resume_s
 
@@ -183,11 +183,11 @@
     def join(self, run: Run, request_id: str) -> None:
         """Add a run under the id of another request that joins it."""
         self._runs[request_id] = run
-        run.joined.append(request_id)
+        run.joined_request_ids.append(request_id)
 
     def remove(self, run: Run) -> None:
         """Remove a run under all its ids."""
-        for request_id in (run.envelope.request_id, *run.joined):
+        for request_id in (run.envelope.request_id, *run.joined_request_ids):
             self._runs.pop(request_id, None)
 
     def expire(self, now_s: float, resume_s: Callable[[Run], float]) -> list[Run]:
