--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -21,7 +21,7 @@
 from beryljunction.sidecar.keys import KeyClaims
 from beryljunction.sidecar.prefixes import PrefixHandover, PrefixReceiver
 from beryljunction.sidecar.readers import ReadRequest, serve_reader
-from beryljunction.sidecar.writers import Writer
+from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.stops import Stoppable
 from beryljunction.stores import HttpLogClient
 from beryljunction.systems import HandoverLimits, HandoverPlanner
@@ -114,7 +114,9 @@
         """Serve one HTTP request from another process of the fleet."""
         headers = dict(scope["headers"])
         self.timeline.clock.heard_stamp(headers.get(HLC_HEADER))
-        writer = Writer(send, self.keeper.tombstones.stamp(boot_time_s()), self.timeline.clock)
+        writer = ResponseWriter(
+            send, self.keeper.tombstones.stamp(boot_time_s()), self.timeline.clock
+        )
         handler = self.routes.get(scope["path"])
         if not hmac.compare_digest(headers.get(FLEET_KEY_HEADER, b""), self._fleet_key):
             refusal = Refusal(RefusalCode.UNAUTHENTICATED, "expected the fleet's key", Ran.NO)
@@ -206,7 +208,7 @@
             )
 
     async def _handle_attach(self, call: Call) -> None:
-        attach = await call.message(Attach)
+        attach = await call.read_message(Attach)
         if attach is None:
             return
         run = self.keeper.find(attach)
@@ -220,7 +222,7 @@
         await serve_reader(run, self.keeper.name(run), read_request, call.receive, call.writer)
 
     async def _handle_cancel(self, call: Call) -> None:
-        cancel = await call.message(Cancel)
+        cancel = await call.read_message(Cancel)
         if cancel is not None:
             self.keeper.hang_up(cancel)
             await call.writer.done()
--- a/src/beryljunction/sidecar/calls.py
+++ b/src/beryljunction/sidecar/calls.py
@@ -7,7 +7,7 @@
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, read_body
-from beryljunction.sidecar.writers import Writer
+from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.wire import decode
 
 __all__ = ["Call", "Handler"]
@@ -23,9 +23,9 @@
 
     headers: dict[bytes, bytes]
     receive: Receive
-    writer: Writer
+    writer: ResponseWriter
 
-    async def message(self, cls: type[T]) -> T | None:
+    async def read_message(self, cls: type[T]) -> T | None:
         """Decode the body; send a refusal and return None when that fails."""
         try:
             return decode(await read_body(self.receive, _MAX_CONTROL_MESSAGE_BYTES) or b"", cls)
--- a/src/beryljunction/sidecar/control.py
+++ b/src/beryljunction/sidecar/control.py
@@ -80,13 +80,13 @@
         )
 
     async def _handle_ticket(self, call: Call) -> None:
-        request = await call.message(TicketWish)
+        request = await call.read_message(TicketWish)
         if request is not None:
             ticket = self._keeper.tickets.mint(request.account, boot_time_s())
             await call.writer.done(encode(TicketGrant(ticket)))
 
     async def _handle_claim(self, call: Call) -> None:
-        request = await call.message(KeyWish)
+        request = await call.read_message(KeyWish)
         if request is None:
             return
         assert self.group is not None
@@ -98,20 +98,20 @@
             await call.writer.refuse(key_refusal(verdict), request.request_id)
 
     async def _handle_drain(self, call: Call) -> None:
-        drain = await call.message(Drain)
+        drain = await call.read_message(Drain)
         if drain is not None:
             self._keeper.admission.leaving = drain.leaving or self.stopping
             self._timeline.add("drain", detail=str(drain.leaving))
             await call.writer.done(encode(self.status()))
 
     async def _handle_chat_moved(self, call: Call) -> None:
-        pointer = await call.message(ChatMoved)
+        pointer = await call.read_message(ChatMoved)
         if pointer is not None:
             self._record_pointer(pointer)
             await call.writer.done()
 
     async def _handle_pointers(self, call: Call) -> None:
-        pointers = await call.message(PointerList)
+        pointers = await call.read_message(PointerList)
         if pointers is None:
             return
         for pointer in pointers.rows:
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -170,7 +170,7 @@
 
     async def handle(self, call: Call) -> None:
         """Handle a prefix offer from a leaving sidecar."""
-        offer = await call.message(PrefixOffer)
+        offer = await call.read_message(PrefixOffer)
         if offer is None:
             return
         refusal = self._check_available()
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -13,7 +13,7 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, wait_disconnect
 from beryljunction.sidecar.runs import Reader, Run
-from beryljunction.sidecar.writers import Writer
+from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.streams import HEARTBEAT, StreamName, error_event
 from beryljunction.wire import refusal_body
 
@@ -38,7 +38,7 @@
 
 
 async def serve_reader(
-    run: Run, name: StreamName, read_request: ReadRequest, receive: Receive, writer: Writer
+    run: Run, name: StreamName, read_request: ReadRequest, receive: Receive, writer: ResponseWriter
 ) -> None:
     """Write the answer from a position on until it ends or the reader disconnects.
 
@@ -61,7 +61,7 @@
 
 
 async def _write_answer(
-    run: Run, reader: Reader, name: StreamName, read_request: ReadRequest, writer: Writer
+    run: Run, reader: Reader, name: StreamName, read_request: ReadRequest, writer: ResponseWriter
 ) -> None:
     with anyio.move_on_after(read_request.pending_s):
         while not run.readable:
@@ -79,7 +79,7 @@
         await _write_stream(run, reader, read_request.after, writer)
 
 
-async def _write_stream(run: Run, reader: Reader, after: int, writer: Writer) -> None:
+async def _write_stream(run: Run, reader: Reader, after: int, writer: ResponseWriter) -> None:
     send = writer.send
     log = run.log
     while log.reaches(after):
--- a/src/beryljunction/sidecar/writers.py
+++ b/src/beryljunction/sidecar/writers.py
@@ -9,7 +9,7 @@
 from beryljunction.timeline import HLC_HEADER, HybridClock
 from beryljunction.wire import OUTCOME_HEADER, STAMP_HEADER, STREAM_HEADER, Outcome, refusal_body
 
-__all__ = ["Writer"]
+__all__ = ["ResponseWriter"]
 
 _DEFAULT_REFUSAL_STATUS = 503
 _PENDING_STATUS = 202
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Writer:
+class ResponseWriter:
     """Writes one HTTP answer.
 
     Attributes:
