--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -84,7 +84,7 @@
 
     def apply(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
-        self.sidecar.apply(self._with_service(view))
+        self.sidecar.apply_settings(self._with_service(view))
 
     def take_hosts(self, rows: list[HostRow]) -> None:
         """Update the peers, and drain for as long as the list marks this host as leaving.
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -17,7 +17,7 @@
 from beryljunction.sidecar.calls import Call, Handler
 from beryljunction.sidecar.control import ControlRoutes
 from beryljunction.sidecar.handover import hand_pointers_over, heirs_of
-from beryljunction.sidecar.keeper import RunKeeper
+from beryljunction.sidecar.keeper import RunManager
 from beryljunction.sidecar.keys import KeyClaims
 from beryljunction.sidecar.prefixes import PrefixHandover, PrefixReceiver
 from beryljunction.sidecar.readers import ReadRequest, serve_reader
@@ -73,9 +73,9 @@
         self.timeline = Timeline(file.process.host, file.process.availability_zone)
         self.members = members if members is not None else EndpointTable()
         self.view = view
-        self.keeper = RunKeeper(file, view, self.incarnation, self.timeline)
-        self.admission = self.keeper.admission
-        self.runs = self.keeper.runs
+        self.run_manager = RunManager(file, view, self.incarnation, self.timeline)
+        self.admission = self.run_manager.admission
+        self.runs = self.run_manager.runs
         self._fleet_key = file.process.fleet_key.encode()
         self._own_pool = client_pool(tls)
         self._fleet_pool = fleet if fleet is not None else self._own_pool
@@ -83,9 +83,9 @@
         address = file.process.log_address
         log = HttpLogClient(address, self._log_pool) if address else None
         keys = KeyClaims(log, self.incarnation, file.process.log_retention_s)
-        receiver = PrefixReceiver(self.admission, self.keeper.prefixes, self.keeper.kv)
+        receiver = PrefixReceiver(self.admission, self.run_manager.prefixes, self.run_manager.kv)
         self.handover = self._create_prefix_handover()
-        self._control = ControlRoutes(file, self.incarnation, self.keeper, keys, self.timeline)
+        self._control = ControlRoutes(file, self.incarnation, self.run_manager, keys, self.timeline)
         self.routes: dict[str, Handler] = {
             RUN_PATH: self._handle_run,
             ATTACH_PATH: self._handle_attach,
@@ -96,17 +96,17 @@
         }
         self._apply_handover_limits()
 
-    def apply(self, view: ResolvedSettings) -> None:
+    def apply_settings(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.view = view
-        self.keeper.apply(view)
+        self.run_manager.apply_settings(view)
         self._apply_handover_limits()
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         """Run the background tasks until cancelled."""
         async with self._own_pool, self._log_pool, anyio.create_task_group() as group:
             self._control.group = group
-            await group.start(self.keeper.run)
+            await group.start(self.run_manager.run)
             group.start_soon(self.handover.run)
             task_status.started()
 
@@ -115,7 +115,7 @@
         headers = dict(scope["headers"])
         self.timeline.clock.heard_stamp(headers.get(HLC_HEADER))
         writer = ResponseWriter(
-            send, self.keeper.tombstones.stamp(boot_time_s()), self.timeline.clock
+            send, self.run_manager.tombstones.stamp(boot_time_s()), self.timeline.clock
         )
         handler = self.routes.get(scope["path"])
         if not hmac.compare_digest(headers.get(FLEET_KEY_HEADER, b""), self._fleet_key):
@@ -153,8 +153,8 @@
         return PrefixHandover(
             HandoverPlanner(self.file.endpoint_id, self.file.service, self.file.process.region),
             self.admission,
-            self.keeper.prefixes,
-            self.keeper.kv,
+            self.run_manager.prefixes,
+            self.run_manager.kv,
             self._fleet_pool,
             self._fleet_key,
             lambda: self.members,
@@ -162,7 +162,7 @@
         )
 
     def _apply_handover_limits(self) -> None:
-        service = self.keeper.service
+        service = self.run_manager.service
         self.handover.limit_s = service.handover_s
         self.handover.planner.limits = HandoverLimits(
             total_bytes=service.handover_bytes,
@@ -176,7 +176,7 @@
 
         Half the silence timeout, so that the reader does not take the connection for broken.
         """
-        return self.keeper.service.silence_s / 2
+        return self.run_manager.service.silence_s / 2
 
     async def _handle_run(self, call: Call) -> None:
         try:
@@ -194,7 +194,7 @@
         await self._answer(call, envelope, body)
 
     async def _answer(self, call: Call, envelope: Envelope, body: bytes) -> None:
-        result = self.keeper.accept(envelope, body)
+        result = self.run_manager.accept(envelope, body)
         if isinstance(result, Refusal):
             self.timeline.add("refused", envelope.request_id, result.code)
             await call.writer.refuse(result, envelope.request_id)
@@ -204,14 +204,18 @@
         else:
             read_request = ReadRequest(envelope.request_id, 0, self._pending_timeout_s)
             await serve_reader(
-                result, self.keeper.name(result), read_request, call.receive, call.writer
+                result,
+                self.run_manager.stream_name(result),
+                read_request,
+                call.receive,
+                call.writer,
             )
 
     async def _handle_attach(self, call: Call) -> None:
         attach = await call.read_message(Attach)
         if attach is None:
             return
-        run = self.keeper.find(attach)
+        run = self.run_manager.find_run(attach)
         if isinstance(run, Refusal):
             await call.writer.refuse(run, attach.request_id)
             return
@@ -219,10 +223,12 @@
         read_request = ReadRequest(
             attach.request_id, attach.after, self._pending_timeout_s, exclusive=attach.resume
         )
-        await serve_reader(run, self.keeper.name(run), read_request, call.receive, call.writer)
+        await serve_reader(
+            run, self.run_manager.stream_name(run), read_request, call.receive, call.writer
+        )
 
     async def _handle_cancel(self, call: Call) -> None:
         cancel = await call.read_message(Cancel)
         if cancel is not None:
-            self.keeper.hang_up(cancel)
+            self.run_manager.cancel(cancel)
             await call.writer.done()
--- a/src/beryljunction/sidecar/control.py
+++ b/src/beryljunction/sidecar/control.py
@@ -8,7 +8,7 @@
 from beryljunction.operators import STATUS_PATH
 from beryljunction.settings import SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
-from beryljunction.sidecar.keeper import RunKeeper
+from beryljunction.sidecar.keeper import RunManager
 from beryljunction.sidecar.keys import KeyClaims
 from beryljunction.systems import KeyClaim, KeyLost, KeyWon, key_refusal
 from beryljunction.timeline import Timeline
@@ -43,7 +43,7 @@
         self,
         file: SidecarFile,
         incarnation: str,
-        keeper: RunKeeper,
+        run_manager: RunManager,
         keys: KeyClaims,
         timeline: Timeline,
     ) -> None:
@@ -51,7 +51,7 @@
         self.stopping = False
         self._file = file
         self._incarnation = incarnation
-        self._keeper = keeper
+        self._run_manager = run_manager
         self._keys = keys
         self._timeline = timeline
 
@@ -68,7 +68,7 @@
 
     def status(self) -> SidecarStatus:
         """Return the current state of this sidecar."""
-        admission = self._keeper.admission
+        admission = self._run_manager.admission
         return SidecarStatus(
             endpoint_id=self._file.endpoint_id,
             service=self._file.service,
@@ -76,13 +76,13 @@
             leaving=admission.leaving,
             running=admission.requests.running_count,
             waiting=admission.requests.waiting_count,
-            kept=sum(run.ended_s is not None for run in self._keeper.runs),
+            kept=sum(run.ended_s is not None for run in self._run_manager.runs),
         )
 
     async def _handle_ticket(self, call: Call) -> None:
         request = await call.read_message(TicketWish)
         if request is not None:
-            ticket = self._keeper.tickets.mint(request.account, boot_time_s())
+            ticket = self._run_manager.tickets.mint(request.account, boot_time_s())
             await call.writer.done(encode(TicketGrant(ticket)))
 
     async def _handle_claim(self, call: Call) -> None:
@@ -100,7 +100,7 @@
     async def _handle_drain(self, call: Call) -> None:
         drain = await call.read_message(Drain)
         if drain is not None:
-            self._keeper.admission.leaving = drain.leaving or self.stopping
+            self._run_manager.admission.leaving = drain.leaving or self.stopping
             self._timeline.add("drain", detail=str(drain.leaving))
             await call.writer.done(encode(self.status()))
 
@@ -120,7 +120,7 @@
         await call.writer.done()
 
     def _record_pointer(self, pointer: ChatMoved) -> None:
-        self._keeper.admission.pointers.record_location(
+        self._run_manager.admission.pointers.record_location(
             pointer.chat_key, pointer.endpoint_id, pointer.tokens, time.monotonic()
         )
 
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -62,7 +62,7 @@
         self.request_s = _DEFAULT_REQUEST_TIMEOUT_S
         self.answer_bytes = _DEFAULT_MAX_ANSWER_BYTES
 
-    async def carry(self, run: Run, name: StreamName, priority: int | None = None) -> None:
+    async def execute(self, run: Run, name: StreamName, priority: int | None = None) -> None:
         """Send the request and store its answer, or the reason for the failure, in the run.
 
         A failure after the first byte may have been sent and before the endpoint has answered
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -36,7 +36,7 @@
 from beryljunction.watches import WatchList
 from beryljunction.wire import Attach, Cancel, Envelope
 
-__all__ = ["RunKeeper"]
+__all__ = ["RunManager"]
 
 _TICK_S = 0.05
 _ENGINE_KIND = "engine"
@@ -65,7 +65,7 @@
     return attrs.evolve(refusal, code=RefusalCode.STALE_STAMP)
 
 
-class RunKeeper:
+class RunManager:
     """Accepts requests, runs them at the endpoint and keeps their answers for the readers.
 
     Args:
@@ -95,9 +95,9 @@
         self.kv = KvClient(self._pool, file.endpoint_address)
         self.prefixes = PrefixTable()
         self._group: anyio.abc.TaskGroup | None = None
-        self.apply(view)
+        self.apply_settings(view)
 
-    def apply(self, view: ResolvedSettings) -> None:
+    def apply_settings(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self._view = view
         service = self.service
@@ -217,7 +217,7 @@
             return self.service.kept_bytes
         return self._view.limits.answer_bytes
 
-    def find(self, attach: Attach) -> Run | Refusal:
+    def find_run(self, attach: Attach) -> Run | Refusal:
         """Return the run that a reader asks for, or a refusal."""
         run = self.runs.get(attach.request_id)
         if run is None or run.envelope.account != attach.account:
@@ -242,7 +242,7 @@
         message = "the sidecar that was given the request is gone or has forgotten it"
         return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
 
-    def hang_up(self, cancel: Cancel) -> None:
+    def cancel(self, cancel: Cancel) -> None:
         """Cancel a run whose caller has disconnected.
 
         A stream continues, since its reader may still resume it for a while, and so does a
@@ -257,7 +257,7 @@
         if not is_over and run.may_be_cancelled and not run.envelope.streamed:
             run.scope.cancel()
 
-    def name(self, run: Run) -> StreamName:
+    def stream_name(self, run: Run) -> StreamName:
         """Return the name of the stream of a run."""
         return StreamName(self._file.endpoint_id, self._incarnation, run.envelope.request_id)
 
@@ -289,7 +289,9 @@
                 started = run.refusal is None and self._ledger.start(run)
                 if started:
                     self._timeline.add("started", request_id)
-                    await self._endpoint.carry(run, self.name(run), self._engine_priority(run))
+                    await self._endpoint.execute(
+                        run, self.stream_name(run), self._engine_priority(run)
+                    )
             if run.scope.cancelled_caught and run.ran is not Ran.NO:
                 await self._endpoint.cancel(request_id)
         finally:
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -510,7 +510,7 @@
 
 def pass_time(path, app, elapsed_s):
     """Shift the clocks of sidecar and entry as if time had passed."""
-    for system in (app.keeper.tickets, app.keeper.tombstones):
+    for system in (app.run_manager.tickets, app.run_manager.tombstones):
         system.clock._started_s -= elapsed_s
     heard = path.entry_app._sidecars._last_stamps
     for endpoint_id, row in heard.items():
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -157,7 +157,7 @@
             self.engines.append(engine)
         self.leaving = self.path.sidecars[0]
         self.engines[0].inner.model.store("c", TOKENS)
-        self.leaving.keeper.prefixes.put(Prefix(self.key, "c", TOKENS, time.monotonic()))
+        self.leaving.run_manager.prefixes.put(Prefix(self.key, "c", TOKENS, time.monotonic()))
         self.successor_number = self.successor_number_of(self.key)
         return self
 
@@ -205,11 +205,11 @@
         async with path_of() as path:
             fleet = await Fleet(path).start()
             used_s = time.monotonic() - 500.0
-            fleet.leaving.keeper.prefixes.put(Prefix(fleet.key, "c", TOKENS, used_s))
+            fleet.leaving.run_manager.prefixes.put(Prefix(fleet.key, "c", TOKENS, used_s))
 
             await fleet.stop()
 
-            (row,) = path.sidecars[fleet.successor_number].keeper.prefixes.newest_first()
+            (row,) = path.sidecars[fleet.successor_number].run_manager.prefixes.newest_first()
             assert row.used_s < used_s + 250.0
 
     async def test_spilled_chat_is_transferred_to_its_home_that_has_a_pointer_here(self):
@@ -302,7 +302,7 @@
                 key for key in range(20) if fleet.successor_number_of(key) == fleet.successor_number
             ):
                 more = Prefix(key, "c", TOKENS, time.monotonic())
-                fleet.leaving.keeper.prefixes.put(more)
+                fleet.leaving.run_manager.prefixes.put(more)
 
             await fleet.stop()
 
@@ -333,7 +333,7 @@
         async with path_of(view_with(handover_s=0.3, kv_token_bytes=1)) as path:
             fleet = await Fleet(path).start()
             overlong = Prefix(fleet.key, "c", 10_000_000, time.monotonic())
-            fleet.leaving.keeper.prefixes.put(overlong)
+            fleet.leaving.run_manager.prefixes.put(overlong)
             fleet.engines[0].hangs = EXPORT
             fleet.leaving.admission.leaving = True
             await eventually(lambda: EXPORT in fleet.engines[0].calls)
@@ -350,7 +350,7 @@
             fleet = await Fleet(path).start()
             successor = path.sidecars[fleet.successor_number]
             third = f"drafter-{3 - fleet.successor_number}"
-            kv_take = successor.keeper.kv.take
+            kv_take = successor.run_manager.kv.take
 
             async def take_after_spill(description):
                 successor.admission.pointers.record_location(
@@ -358,7 +358,7 @@
                 )
                 return await kv_take(description)
 
-            successor.keeper.kv.take = take_after_spill
+            successor.run_manager.kv.take = take_after_spill
             await fleet.stop()
 
             assert fleet.pointers() == [third]
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -24,7 +24,7 @@
 
 def ticket_request(app, ticket=None, request_id="r1", **fields):
     """Return a non-idempotent request with a ticket."""
-    ticket = ticket or app.keeper.tickets.mint("jury", boot_time_s())
+    ticket = ticket or app.run_manager.tickets.mint("jury", boot_time_s())
     fields.setdefault("heard", current_stamp(app))
     return Envelope(
         request_id, "jury", "drafter", wait_s=10.0, idempotent=False, ticket=ticket, **fields
@@ -32,7 +32,7 @@
 
 
 def current_stamp(app):
-    return app.keeper.tombstones.stamp(boot_time_s()).to_text()
+    return app.run_manager.tombstones.stamp(boot_time_s()).to_text()
 
 
 def outcome_of(response):
@@ -277,7 +277,7 @@
         async with path_of() as path:
             path.engine = ScriptedEngine(hold_at=2)
             app = await path.sidecar(path.engine)
-            ticket = app.keeper.tickets.mint("jury", boot_time_s())
+            ticket = app.run_manager.tickets.mint("jury", boot_time_s())
             answers = []
 
             async def ask(request_id):
--- a/testing/test_stops.py
+++ b/testing/test_stops.py
@@ -85,8 +85,8 @@
             answers = []
 
             async def run_request():
-                ticket = app.keeper.tickets.mint("jury", boot_time_s())
-                heard = app.keeper.tickets.stamp(boot_time_s()).to_text()
+                ticket = app.run_manager.tickets.mint("jury", boot_time_s())
+                heard = app.run_manager.tickets.stamp(boot_time_s()).to_text()
                 envelope = attrs.evolve(
                     STREAM, streamed=False, idempotent=False, ticket=ticket, heard=heard
                 )
