--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -16,10 +16,10 @@
 from beryljunction.settings import ResolvedSettings, SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
 from beryljunction.sidecar.control import ControlRoutes
-from beryljunction.sidecar.handover import hand_pointers_over, heirs_of
+from beryljunction.sidecar.handover import pointers_by_successor, send_pointers
 from beryljunction.sidecar.keeper import RunManager
 from beryljunction.sidecar.keys import KeyClaims
-from beryljunction.sidecar.prefixes import PrefixHandover, PrefixReceiver
+from beryljunction.sidecar.prefixes import PrefixReceiver, PrefixSender
 from beryljunction.sidecar.readers import ReadRequest, serve_reader
 from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.stops import Stoppable
@@ -84,7 +84,7 @@
         log = HttpLogClient(address, self._log_pool) if address else None
         keys = KeyClaims(log, self.incarnation, file.process.log_retention_s)
         receiver = PrefixReceiver(self.admission, self.run_manager.prefixes, self.run_manager.kv)
-        self.handover = self._create_prefix_handover()
+        self.prefix_sender = self._create_prefix_sender()
         self._control = ControlRoutes(file, self.incarnation, self.run_manager, keys, self.timeline)
         self.routes: dict[str, Handler] = {
             RUN_PATH: self._handle_run,
@@ -107,7 +107,7 @@
         async with self._own_pool, self._log_pool, anyio.create_task_group() as group:
             self._control.group = group
             await group.start(self.run_manager.run)
-            group.start_soon(self.handover.run)
+            group.start_soon(self.prefix_sender.run)
             task_status.started()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -143,14 +143,16 @@
 
     async def hand_over(self) -> None:
         """Send cached prefixes and chat pointers to the sidecars that get these chats next."""
-        await self.handover.finish()
+        await self.prefix_sender.transfer_remaining()
         pointers = self.admission.pointers
-        heirs = heirs_of(pointers, self.members, self.file.service, time.monotonic())
-        await hand_pointers_over(self._fleet_pool, self._fleet_key, heirs)
-        self.timeline.add("handed_over", detail=str(sum(len(rows) for _, rows in heirs)))
+        by_successor = pointers_by_successor(
+            pointers, self.members, self.file.service, time.monotonic()
+        )
+        await send_pointers(self._fleet_pool, self._fleet_key, by_successor)
+        self.timeline.add("handed_over", detail=str(sum(len(rows) for _, rows in by_successor)))
 
-    def _create_prefix_handover(self) -> PrefixHandover:
-        return PrefixHandover(
+    def _create_prefix_sender(self) -> PrefixSender:
+        return PrefixSender(
             HandoverPlanner(self.file.endpoint_id, self.file.service, self.file.process.region),
             self.admission,
             self.run_manager.prefixes,
@@ -163,8 +165,8 @@
 
     def _apply_handover_limits(self) -> None:
         service = self.run_manager.service
-        self.handover.limit_s = service.handover_s
-        self.handover.planner.limits = HandoverLimits(
+        self.prefix_sender.limit_s = service.handover_s
+        self.prefix_sender.planner.limits = HandoverLimits(
             total_bytes=service.handover_bytes,
             token_bytes=service.kv_token_bytes,
             prefill_tokens_per_s=self.admission.limits.prefill_tokens_per_s,
--- a/src/beryljunction/sidecar/handover.py
+++ b/src/beryljunction/sidecar/handover.py
@@ -10,7 +10,7 @@
 from beryljunction.tables import Endpoint, EndpointTable
 from beryljunction.wire import FLEET_KEY_HEADER, POINTERS_PATH, ChatMoved, PointerList, encode
 
-__all__ = ["hand_pointers_over", "heirs_of"]
+__all__ = ["send_pointers", "pointers_by_successor"]
 
 # At the target fleet size a sidecar holds some 12,600 pointers. The newest are sent, since a chat
 # that has been idle for long is the least likely to return. 4,096 rows are some 300 KB per stop.
@@ -19,7 +19,7 @@
 _SEND_TIMEOUT_S = 3.0
 
 
-def heirs_of(
+def pointers_by_successor(
     pointers: ChatDirectory, members: EndpointTable, service: str, now_s: float
 ) -> list[tuple[Endpoint, list[ChatMoved]]]:
     """Return the next endpoint of each chat of a leaving endpoint, with the pointers to send it.
@@ -42,16 +42,16 @@
     return list(by_successor.values())
 
 
-async def hand_pointers_over(
+async def send_pointers(
     pool: httpcore.AsyncConnectionPool,
     fleet_key: bytes,
-    heirs: list[tuple[Endpoint, list[ChatMoved]]],
+    by_successor: list[tuple[Endpoint, list[ChatMoved]]],
 ) -> None:
     """Send each endpoint its pointers.
 
     If one does not answer, its chats may start with a cold cache, but the stop continues.
     """
-    for successor, rows in heirs:
+    for successor, rows in by_successor:
         for start in range(0, len(rows), _BATCH_ROWS):
             batch = PointerList(tuple(rows[start : start + _BATCH_ROWS]))
             with anyio.move_on_after(_SEND_TIMEOUT_S):
--- a/src/beryljunction/sidecar/kv.py
+++ b/src/beryljunction/sidecar/kv.py
@@ -47,7 +47,7 @@
         tokens = _tokens_of(answer)
         return None if tokens is None else KvExport(tokens, answer.decode())
 
-    async def take(self, description: str) -> int | None:
+    async def import_prefix(self, description: str) -> int | None:
         """Import a prefix and return its length in tokens."""
         return _tokens_of(await self._post(_IMPORT_PATH, description.encode()))
 
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -30,7 +30,7 @@
     encode,
 )
 
-__all__ = ["PrefixHandover", "PrefixReceiver"]
+__all__ = ["PrefixSender", "PrefixReceiver"]
 
 _LEAVING_POLL_S = 0.05
 # Interval at which a draining sidecar looks for chats whose answers have ended since the last pass.
@@ -42,7 +42,7 @@
 _CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
-class PrefixHandover:
+class PrefixSender:
     """Transfers prefixes while the endpoint leaves, a few at a time, beside answers in flight.
 
     The transfers start when the endpoint begins to leave. The last answer may end minutes later,
@@ -87,7 +87,7 @@
                 self.planner.reset()
                 await anyio.sleep(_LEAVING_POLL_S)
 
-    async def finish(self) -> None:
+    async def transfer_remaining(self) -> None:
         """Transfer the rest before a stop, when nothing is in flight, for at most `limit_s`."""
         with anyio.move_on_after(self.limit_s):
             await self._transfer_all()
@@ -193,7 +193,7 @@
         if not self._is_wanted(offer):
             return 0
         async with self._limiter:
-            tokens = await self._kv.take(offer.description)
+            tokens = await self._kv.import_prefix(offer.description)
         if not tokens:
             return None
         # The chat may have returned during the import and have a newer pointer by now.
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -241,7 +241,7 @@
                 group.start_soon(ask)
                 await eventually(lambda: engine.inner.runs)
                 fleet.leaving.refuse_new()
-                await fleet.leaving.handover.finish()
+                await fleet.leaving.prefix_sender.transfer_remaining()
                 early = EXPORT in engine.calls
             await fleet.leaving.hand_over()
 
@@ -296,7 +296,7 @@
             fleet = await Fleet(path).start()
             path.sidecars[fleet.successor_number].admission.leaving = True
             fleet.leaving.refuse_new()
-            await fleet.leaving.handover.finish()
+            await fleet.leaving.prefix_sender.transfer_remaining()
             exports = fleet.engines[0].calls.count(EXPORT)
             for key in (
                 key for key in range(20) if fleet.successor_number_of(key) == fleet.successor_number
@@ -350,7 +350,7 @@
             fleet = await Fleet(path).start()
             successor = path.sidecars[fleet.successor_number]
             third = f"drafter-{3 - fleet.successor_number}"
-            kv_take = successor.run_manager.kv.take
+            kv_take = successor.run_manager.kv.import_prefix
 
             async def take_after_spill(description):
                 successor.admission.pointers.record_location(
@@ -358,7 +358,7 @@
                 )
                 return await kv_take(description)
 
-            successor.run_manager.kv.take = take_after_spill
+            successor.run_manager.kv.import_prefix = take_after_spill
             await fleet.stop()
 
             assert fleet.pointers() == [third]
