--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -12,7 +12,7 @@
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar.endpoint import EndpointClient
 from beryljunction.sidecar.kv import KvClient
-from beryljunction.sidecar.ledger import RunLedger
+from beryljunction.sidecar.ledger import RunTickets
 from beryljunction.sidecar.runs import Run, RunTable
 from beryljunction.streams import FrameLog, StreamName
 from beryljunction.systems import (
@@ -88,7 +88,7 @@
         self._file = file
         self._incarnation = incarnation
         self._timeline = timeline
-        self._ledger = RunLedger(self.tickets)
+        self._ledger = RunTickets(self.tickets)
         self._pool = client_pool()
         speed = self.admission.load.speed
         self._endpoint = EndpointClient(self._pool, self.watches, file.endpoint_address, speed)
@@ -297,7 +297,7 @@
         finally:
             self._timeline.add("ended", request_id)
             self.admission.finish(request_id)
-            self._ledger.close(run, started)
+            self._ledger.record_end(run, started)
             self._record_prefix(run.envelope, run.ran)
             run.end(time.monotonic())
             self._tick()
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -7,12 +7,12 @@
 from beryljunction.tables import Answer, Stamp
 from beryljunction.wire import Envelope
 
-__all__ = ["RunLedger"]
+__all__ = ["RunTickets"]
 
 _STREAM_HEADERS = ((b"content-type", b"text/event-stream"),)
 
 
-class RunLedger:
+class RunTickets:
     """Updates the ticket ledger as the runs of this sidecar start and end.
 
     A run claims its ticket before it is admitted, marks it as started just before the first byte
@@ -58,7 +58,7 @@
         run.refusal = Refusal(RefusalCode.DEADLINE, message, Ran.NO)
         return False
 
-    def close(self, run: Run, started: bool) -> None:
+    def record_end(self, run: Run, started: bool) -> None:
         """Record how a run ended; the ticket of a run that provably did not run is retired."""
         if run.serial is None:
             return
