--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -18,7 +18,7 @@
     SettingsState,
     serve_settings,
 )
-from beryljunction.sidecar.peers import PeerExchange
+from beryljunction.sidecar.peers import LoadExchange
 from beryljunction.standins import HostListStandIn, LogStandIn
 from beryljunction.stores import HostRow, HttpHostList, HttpLogClient
 from beryljunction.systems import LoadTracker
@@ -127,13 +127,13 @@
 
 async def _load_head() -> float:
     load = LoadTracker("reel-llm-1", "0a1b2c3d4e5f", rng=random.Random(1))
-    other = PeerExchange(
+    other = LoadExchange(
         LoadTracker("reel-llm-2", "0a1b2c3d4e5f"), client_pool(), _KEY, _version, _ignore
     )
     async with _Counted(_front(PEERS_PATH, other)) as counted:
-        exchange = PeerExchange(load, counted.pool, _KEY, _version, _ignore)
+        exchange = LoadExchange(load, counted.pool, _KEY, _version, _ignore)
         exchange.set_peers({"reel-llm-2": counted.server.address})
-        await exchange.tell("reel-llm-2")
+        await exchange.send_to("reel-llm-2")
         return counted.total_bytes - len(encode_rows([load.own_row()]))
 
 
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -19,7 +19,7 @@
 from beryljunction.servers import Receive, Scope, Send, client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
-from beryljunction.sidecar.peers import PeerExchange
+from beryljunction.sidecar.peers import LoadExchange
 from beryljunction.stores import HostRow
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 from beryljunction.wire import PEERS_PATH
@@ -63,7 +63,7 @@
         self.sidecar = SidecarApp(file, self._with_service(view), tls=tools.tls, fleet=tools.fleet)
         self.app = self.part = self.sidecar
         self.timeline = self.sidecar.timeline
-        self.exchange = PeerExchange(
+        self.exchange = LoadExchange(
             self.sidecar.admission.load,
             tools.peers,
             file.process.fleet_key,
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -18,14 +18,14 @@
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_rows, encode_rows
 
-__all__ = ["PeerExchange"]
+__all__ = ["LoadExchange"]
 
 _VERSION_HEADER = b"beryl-settings-version"
 _EXCHANGE_TIMEOUT_S = 1.0
 _MAX_BODY_BYTES = 16_384
 
 
-class PeerExchange:
+class LoadExchange:
     """Sends load rows to peers and merges the rows received from them.
 
     Args:
@@ -76,9 +76,9 @@
             await anyio.sleep(self._load.interval_s * self._rng.uniform(0.8, 1.2))
             peer = self._rotation.next_peer("", self._addresses)
             if peer is not None:
-                await self.tell(peer)
+                await self.send_to(peer)
 
-    async def tell(self, endpoint_id: str) -> None:
+    async def send_to(self, endpoint_id: str) -> None:
         """Send rows to one peer; without an answer, the peer's row is ignored until a new one."""
         body = encode_rows(self._load.rows_to_send(self._now_s()))
         try:
--- a/testing/test_peers.py
+++ b/testing/test_peers.py
@@ -8,7 +8,7 @@
 from beryljunction.node.front import FleetFront
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Server, bind, client_pool, respond
-from beryljunction.sidecar.peers import PeerExchange
+from beryljunction.sidecar.peers import LoadExchange
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import PEERS_PATH
 
@@ -31,7 +31,7 @@
         self.asked_bytes = 0
         self.answered_bytes = 0
         self.pool = client_pool(backend=CountingBackend(self.count_asked))
-        self.exchange = PeerExchange(
+        self.exchange = LoadExchange(
             self.load,
             self.pool,
             KEY,
@@ -80,8 +80,8 @@
             first, second, third = (Peer(name) for name in ("a", "b", "c"))
             first.load.note_own(7, 2, 900, 100.0)
             async with peers(first, second, third):
-                await first.exchange.tell("b")
-                await second.exchange.tell("c")
+                await first.exchange.send_to("b")
+                await second.exchange.send_to("c")
             return third.load.peer("a")
 
         heard = anyio.run(run)
@@ -94,7 +94,7 @@
             first.know(ENDPOINTS - 1)
             async with peers(first, second):
                 for _ in range(10):
-                    await first.exchange.tell("reel-llm-41")
+                    await first.exchange.send_to("reel-llm-41")
             return first, second
 
         first, second = anyio.run(run)
@@ -108,7 +108,7 @@
             first, second = Peer("a"), Peer("b")
             first.know(20)
             async with peers(first, second):
-                await first.exchange.tell("b")
+                await first.exchange.send_to("b")
             return first.asked_bytes, second.answered_bytes
 
         asked, answered = anyio.run(run)
@@ -119,8 +119,8 @@
         async def run():
             old, new = Peer("old", version=3), Peer("new", version=5)
             async with peers(old, new):
-                await old.exchange.tell("new")
-                await new.exchange.tell("old")
+                await old.exchange.send_to("new")
+                await new.exchange.send_to("old")
             return old.newer, new.newer
 
         assert anyio.run(run) == ([("new", 5), ("new", 5)], [])
@@ -129,7 +129,7 @@
         async def run():
             peer = Peer("a")
             peer.exchange.set_peers({"b": "127.0.0.1:1"})
-            await peer.exchange.tell("b")
+            await peer.exchange.send_to("b")
             await peer.pool.aclose()
 
         anyio.run(run)
@@ -139,7 +139,7 @@
             peer = Peer("a")
             peer.know(2)
             peer.exchange.set_peers({"reel-llm-0": "127.0.0.1:1"})
-            await peer.exchange.tell("reel-llm-0")
+            await peer.exchange.send_to("reel-llm-0")
             await peer.pool.aclose()
             return peer.load
 
