--- a/src/beryljunction/engines/__init__.py
+++ b/src/beryljunction/engines/__init__.py
@@ -10,24 +10,29 @@
     OrderTaken,
     OrderUnknown,
 )
-from beryljunction.engines.orders import OrderRunner, WorkGate
-from beryljunction.engines.peers import ORDERS_PATH, HttpOrderPeers, OrderPeers, answer_orders
-from beryljunction.engines.turns import TurnLog
+from beryljunction.engines.orders import ReconcileLoop, RequestGate
+from beryljunction.engines.peers import (
+    ORDERS_PATH,
+    HttpRolloutPeers,
+    RolloutPeers,
+    handle_row_exchange,
+)
+from beryljunction.engines.turns import LoadTurnLog
 
 __all__ = [
     "ORDERS_PATH",
     "EngineControl",
     "HttpEngineControl",
-    "HttpOrderPeers",
+    "HttpRolloutPeers",
     "NoEngine",
     "OrderFenced",
     "OrderOutcome",
-    "OrderPeers",
+    "RolloutPeers",
     "OrderRefused",
-    "OrderRunner",
+    "ReconcileLoop",
     "OrderTaken",
     "OrderUnknown",
-    "TurnLog",
-    "WorkGate",
-    "answer_orders",
+    "LoadTurnLog",
+    "RequestGate",
+    "handle_row_exchange",
 ]
--- a/src/beryljunction/engines/control.py
+++ b/src/beryljunction/engines/control.py
@@ -81,11 +81,11 @@
     """Control interface of an engine."""
 
     @abc.abstractmethod
-    async def state(self) -> EngineState | NoEngine:
+    async def read_state(self) -> EngineState | NoEngine:
         """Return the models and adapters that the engine holds."""
 
     @abc.abstractmethod
-    async def order(self, order: Order) -> OrderOutcome:
+    async def send_order(self, order: Order) -> OrderOutcome:
         """Send the target state to the engine."""
 
 
@@ -96,7 +96,7 @@
         self._address = address
         self._pool = pool
 
-    async def state(self) -> EngineState | NoEngine:
+    async def read_state(self) -> EngineState | NoEngine:
         """Read the state; see :meth:`EngineControl.state`."""
         try:
             response = await self._request("GET", _ENGINE_STATE_PATH, b"")
@@ -108,7 +108,7 @@
         except ValueError as error:
             return NoEngine(str(error))
 
-    async def order(self, order: Order) -> OrderOutcome:
+    async def send_order(self, order: Order) -> OrderOutcome:
         """Send an order; see :meth:`EngineControl.order`."""
         body = json.dumps(attrs.asdict(order)).encode()
         try:
--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/orders.py
@@ -8,8 +8,8 @@
 import anyio
 
 from beryljunction.engines.control import EngineControl, NoEngine, OrderFenced, OrderRefused
-from beryljunction.engines.peers import OrderPeers
-from beryljunction.engines.turns import TurnLog
+from beryljunction.engines.peers import RolloutPeers
+from beryljunction.engines.turns import LoadTurnLog
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.systems.recovery.orders import (
     AwaitRollout,
@@ -33,7 +33,7 @@
 )
 from beryljunction.tables.orders import DesiredState, EngineState, OrderRow, OrderRowTable, Phase
 
-__all__ = ["OrderRunner", "WorkGate"]
+__all__ = ["ReconcileLoop", "RequestGate"]
 
 _POLL_INTERVAL_S = 1.0
 _POLL_AFTER_ORDER_S = 0.05
@@ -45,7 +45,7 @@
 _LATE_TURN_S = 60.0
 
 
-class WorkGate(abc.ABC):
+class RequestGate(abc.ABC):
     """Drains the engine before an order that needs it idle."""
 
     @abc.abstractmethod
@@ -57,7 +57,7 @@
         """Return how many requests run on the engine."""
 
 
-class OrderRunner:
+class ReconcileLoop:
     """Reconciles one engine with the settings, one step at a time.
 
     Attributes:
@@ -74,11 +74,11 @@
         service: str,
         view: Callable[[], ResolvedSettings],
         engine: EngineControl,
-        peers: OrderPeers,
-        gate: WorkGate,
+        peers: RolloutPeers,
+        gate: RequestGate,
         now_s: Callable[[], float] = time.monotonic,
         rng: random.Random | None = None,
-        turns: TurnLog | None = None,
+        turns: LoadTurnLog | None = None,
     ) -> None:
         self.phase = Phase.SERVING
         self.reason = "the engine has not been asked for its state yet"
@@ -118,7 +118,7 @@
             # Plain services are not polled: they would handle the request as one of a caller.
             self.reason = f"the settings list no models for service {self._service}"
             return
-        state = await self._engine.state()
+        state = await self._engine.read_state()
         if isinstance(state, NoEngine):
             self._state, self.reason = None, state.reason
             return
@@ -140,7 +140,7 @@
             await self._drain_and_send(step, decided_s)
         self._gate.set_open(self._serves(desired, state))
 
-    def row(self) -> OrderRow:
+    def own_row(self) -> OrderRow:
         """Return the row about this endpoint that is sent to its peers."""
         desired, state = self._desired(), self._state
         if desired is None or state is None:
@@ -153,7 +153,7 @@
             fence=desired.fence,
         )
 
-    def hear(self, row: OrderRow) -> None:
+    def receive_row(self, row: OrderRow) -> None:
         """Store a row received from a peer."""
         self._peer_rows.put(row, self._now_s())
 
@@ -205,31 +205,31 @@
             return await self._decide_by_turn(self._turns, interrupts)
         if self._turns is not None and interrupts:
             return LoadDelayed("the log does not answer; endpoints keep serving until it does")
-        for row in await self._peers.exchange(self.row()):
-            self.hear(row)
+        for row in await self._peers.exchange(self.own_row()):
+            self.receive_row(row)
         self._peer_rows.drop_older(self._now_s() - _ROW_TTL_S)
         return self._rollout_rules.decide(
-            self._peers.listed(), self._peer_rows, self._limits(), interrupts, self._now_s()
+            self._peers.endpoint_ids(), self._peer_rows, self._limits(), interrupts, self._now_s()
         )
 
-    async def _decide_by_turn(self, turns: TurnLog, interrupts: bool) -> TurnStep:
+    async def _decide_by_turn(self, turns: LoadTurnLog, interrupts: bool) -> TurnStep:
         """Take the next step by the queue of turns.
 
         Only an endpoint whose turn has come asks its peers, and each of them once per step.
         """
         limits = self._limits()
         is_turn = self._turn_rules.turn_is_due(turns.queue, limits)
-        peer_rows = await self._peers.exchange(self.row()) if is_turn else []
+        peer_rows = await self._peers.exchange(self.own_row()) if is_turn else []
         step = self._turn_rules.decide(
-            turns.queue, self._peers.listed(), peer_rows, limits, interrupts, self._now_s()
+            turns.queue, self._peers.endpoint_ids(), peer_rows, limits, interrupts, self._now_s()
         )
         if isinstance(step, TakeTurn):
             self._turn_check_until_s = self._now_s() + _LATE_TURN_S
-            await turns.take(self._endpoint_id)
+            await turns.enqueue(self._endpoint_id)
         elif isinstance(step, RenewTurn):
             await turns.renew(self._endpoint_id)
         elif isinstance(step, EndTurn):
-            await turns.end(step)
+            await turns.release(step)
         return step
 
     async def _still_holds_turn(self, interrupts: bool) -> bool:
@@ -248,7 +248,7 @@
         self.reason = "renewing this endpoint's turn on the log"
         return self._turn_rules.holds(self._turns.queue, self._now_s())
 
-    async def _renew_if_due(self, turns: TurnLog) -> None:
+    async def _renew_if_due(self, turns: LoadTurnLog) -> None:
         if self._turn_rules.renews(turns.queue, self._now_s()):
             await turns.renew(self._endpoint_id)
 
@@ -264,7 +264,7 @@
         if own_turn is None:
             return
         if self.phase is Phase.SERVING and state.fulfils(desired):
-            await turns.end(EndTurn(self._endpoint_id, own_turn.renewed_at))
+            await turns.release(EndTurn(self._endpoint_id, own_turn.renewed_at))
         else:
             await self._renew_if_due(turns)
 
@@ -283,7 +283,7 @@
             self.reason = "the process was paused before the order; reading the state again"
             return
         self._sent_orders += 1
-        outcome = await self._engine.order(order)
+        outcome = await self._engine.send_order(order)
         if isinstance(outcome, OrderRefused):
             self._order_rules.ordered(self._now_s(), refused=True)
             self.reason = f"the engine refused the order: {outcome.reason}"
--- a/src/beryljunction/engines/peers.py
+++ b/src/beryljunction/engines/peers.py
@@ -11,18 +11,18 @@
 from beryljunction.tables.orders import OrderRow
 from beryljunction.wire import FLEET_KEY_HEADER, decode, encode
 
-__all__ = ["ORDERS_PATH", "HttpOrderPeers", "OrderPeers", "answer_orders"]
+__all__ = ["ORDERS_PATH", "HttpRolloutPeers", "RolloutPeers", "handle_row_exchange"]
 
 ORDERS_PATH = "/beryl/v1/orders"
 _TIMEOUT_S = 1.0
 _MAX_ROW_BYTES = 4096
 
 
-class OrderPeers(abc.ABC):
+class RolloutPeers(abc.ABC):
     """The other sidecars of the service."""
 
     @abc.abstractmethod
-    def listed(self) -> list[str]:
+    def endpoint_ids(self) -> list[str]:
         """Return the ids of the other endpoints of the service in the host list."""
 
     @abc.abstractmethod
@@ -30,7 +30,7 @@
         """Send the row of this endpoint to all peers; return the rows of those that answer."""
 
 
-class HttpOrderPeers(OrderPeers):
+class HttpRolloutPeers(RolloutPeers):
     """Exchanges rows with the other sidecars of the service over HTTP."""
 
     def __init__(
@@ -43,12 +43,12 @@
         self._pool = pool
         self._fleet_key = fleet_key.encode()
 
-    def listed(self) -> list[str]:
-        """Return the ids of the other endpoints; see :meth:`OrderPeers.listed`."""
+    def endpoint_ids(self) -> list[str]:
+        """Return the ids of the other endpoints; see :meth:`RolloutPeers.listed`."""
         return list(self._addresses())
 
     async def exchange(self, own: OrderRow) -> list[OrderRow]:
-        """Exchange rows with all peers; see :meth:`OrderPeers.exchange`."""
+        """Exchange rows with all peers; see :meth:`RolloutPeers.exchange`."""
         rows: list[OrderRow] = []
         async with anyio.create_task_group() as group:
             for address in self._addresses().values():
@@ -73,9 +73,9 @@
             return
 
 
-async def answer_orders(
-    hear: Callable[[OrderRow], None],
-    row: Callable[[], OrderRow],
+async def handle_row_exchange(
+    receive_row: Callable[[OrderRow], None],
+    own_row: Callable[[], OrderRow],
     receive: Receive,
     send: Send,
 ) -> None:
@@ -85,8 +85,8 @@
     """
     body: Any = await read_body(receive, _MAX_ROW_BYTES)
     try:
-        hear(decode(body or b"", OrderRow))
+        receive_row(decode(body or b"", OrderRow))
     except ValueError as error:
         await respond(send, 400, str(error).encode(), content_type=b"text/plain")
         return
-    await respond(send, 200, encode(row()))
+    await respond(send, 200, encode(own_row()))
--- a/src/beryljunction/engines/turns.py
+++ b/src/beryljunction/engines/turns.py
@@ -9,12 +9,12 @@
 from beryljunction.systems.recovery.turns import EndTurn
 from beryljunction.tables.turns import TurnQueue, end_record, renew_record, take_record
 
-__all__ = ["TurnLog"]
+__all__ = ["LoadTurnLog"]
 
 _MAX_PAGE_RECORDS = 500
 
 
-class TurnLog:
+class LoadTurnLog:
     """Reads and writes turns.
 
     An append that gets no answer may still have succeeded, which the next read shows.
@@ -38,7 +38,7 @@
             if page.at_end:
                 return True
 
-    async def take(self, endpoint_id: str) -> None:
+    async def enqueue(self, endpoint_id: str) -> None:
         """Append an endpoint to the queue."""
         await self._log.append(self._stream, uuid.uuid4().hex, take_record(endpoint_id))
 
@@ -46,7 +46,7 @@
         """Renew the turn of an endpoint, which shows that it is still in use."""
         await self._log.append(self._stream, uuid.uuid4().hex, renew_record(endpoint_id))
 
-    async def end(self, step: EndTurn) -> None:
+    async def release(self, step: EndTurn) -> None:
         """Remove a turn from the queue."""
         data = end_record(step.endpoint_id, step.renewed_at)
         await self._log.append(self._stream, uuid.uuid4().hex, data)
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -8,11 +8,11 @@
 from beryljunction.engines import (
     ORDERS_PATH,
     HttpEngineControl,
-    HttpOrderPeers,
-    OrderRunner,
-    TurnLog,
-    WorkGate,
-    answer_orders,
+    HttpRolloutPeers,
+    LoadTurnLog,
+    ReconcileLoop,
+    RequestGate,
+    handle_row_exchange,
 )
 from beryljunction.node.roles import LEAVING, NodeRole, RoleTools
 from beryljunction.operators import NodeStatus
@@ -32,7 +32,7 @@
 _LOADING_MESSAGE = "the engine is loading a model; ask another endpoint, or come back later"
 
 
-class _AdmissionGate(WorkGate):
+class _AdmissionGate(RequestGate):
     """Pauses admission while the engine loads a model; running requests continue."""
 
     def __init__(self, sidecar: SidecarApp) -> None:
@@ -71,7 +71,7 @@
             tools.on_newer,
         )
         self._engine_pool = client_pool()
-        self.orders = self._order_runner(tools)
+        self.orders = self._create_reconcile_loop(tools)
         self.routes = {PEERS_PATH: self.exchange, ORDERS_PATH: self._answer_orders}
 
     async def run(self, *, task_status: Any) -> None:
@@ -138,15 +138,15 @@
         self.sidecar.admission.leaving = leaving
         self.orders.leaving = leaving
 
-    def _order_runner(self, tools: RoleTools) -> OrderRunner:
+    def _create_reconcile_loop(self, tools: RoleTools) -> ReconcileLoop:
         file = self.file
-        turns = TurnLog(tools.log, file.process.region, file.service) if tools.log else None
-        return OrderRunner(
+        turns = LoadTurnLog(tools.log, file.process.region, file.service) if tools.log else None
+        return ReconcileLoop(
             file.endpoint_id,
             file.service,
             lambda: self.sidecar.view,
             HttpEngineControl(file.endpoint_address, self._engine_pool),
-            HttpOrderPeers(lambda: self._region_addresses, tools.fleet, file.process.fleet_key),
+            HttpRolloutPeers(lambda: self._region_addresses, tools.fleet, file.process.fleet_key),
             _AdmissionGate(self.sidecar),
             turns=turns,
         )
@@ -159,7 +159,7 @@
             await self.orders.run()
 
     async def _answer_orders(self, scope: Scope, receive: Receive, send: Send) -> None:
-        await answer_orders(self.orders.hear, self.orders.row, receive, send)
+        await handle_row_exchange(self.orders.receive_row, self.orders.own_row, receive, send)
 
     def _with_service(self, view: ResolvedSettings) -> ResolvedSettings:
         """Return a view that contains the endpoint's service, if need be with its last settings.
--- a/testing/settings_simulation.py
+++ b/testing/settings_simulation.py
@@ -7,13 +7,13 @@
 
 from beryljunction.engines import (
     EngineControl,
+    LoadTurnLog,
     OrderFenced,
-    OrderPeers,
-    OrderRunner,
     OrderTaken,
     OrderUnknown,
-    TurnLog,
-    WorkGate,
+    ReconcileLoop,
+    RequestGate,
+    RolloutPeers,
 )
 from beryljunction.settings import (
     CHANGES_STREAM,
@@ -175,10 +175,10 @@
         self.simulation, self.model = simulation, model
         self.in_hand = False
 
-    async def state(self):
+    async def read_state(self):
         return self.model.state(self.simulation.scheduler.now_s)
 
-    async def order(self, order):
+    async def send_order(self, order):
         self.in_hand = True
         await sleep(self.simulation.random.uniform(0.001, 0.3))
         self.in_hand = False
@@ -189,7 +189,7 @@
         return OrderTaken() if taken else OrderFenced()
 
 
-class FakeOrderPeers(OrderPeers):
+class FakeOrderPeers(RolloutPeers):
     def __init__(self, simulation, own):
         self.simulation, self.own = simulation, own
 
@@ -200,11 +200,11 @@
         await sleep(0.02)
         names = [n for n in self.listed() if n not in self.simulation.scheduler.paused]
         for name in names:
-            self.simulation.runners[name].hear(own)
-        return [self.simulation.runners[name].row() for name in names]
+            self.simulation.runners[name].receive_row(own)
+        return [self.simulation.runners[name].own_row() for name in names]
 
 
-class OpenGate(WorkGate):
+class OpenGate(RequestGate):
     def set_open(self, is_open):
         pass
 
@@ -259,7 +259,7 @@
             self.scheduler.start(self._loop(step), node.owner)
         if name in self.engines:
             self.controls[name] = Engine(self, self.engines[name])
-            runner = OrderRunner(
+            runner = ReconcileLoop(
                 name,
                 "drafter",
                 lambda: node.state.view,
@@ -268,7 +268,7 @@
                 OpenGate(),
                 clock,
                 rng,
-                TurnLog(Log(self, node), "gj-west", "drafter"),
+                LoadTurnLog(Log(self, node), "gj-west", "drafter"),
             )
             self.runners[name] = runner
             self.scheduler.start(self._loop(runner.step), node.owner)
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -7,14 +7,14 @@
 from beryljunction.engines import (
     EngineControl,
     HttpEngineControl,
+    LoadTurnLog,
     NoEngine,
     OrderFenced,
-    OrderPeers,
-    OrderRunner,
     OrderTaken,
     OrderUnknown,
-    TurnLog,
-    WorkGate,
+    ReconcileLoop,
+    RequestGate,
+    RolloutPeers,
 )
 from beryljunction.servers import Server, bind, client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, WeightSettings
@@ -49,17 +49,17 @@
         self.rollout, self.model = rollout, model
         self.lose_answers = self.silent = False
 
-    async def state(self):
+    async def read_state(self):
         return NoEngine("silent") if self.silent else self.model.state(self.rollout.now_s)
 
-    async def order(self, order):
+    async def send_order(self, order):
         taken = self.model.order(order, self.rollout.now_s)
         if self.lose_answers:
             return OrderUnknown()
         return OrderTaken() if taken else OrderFenced()
 
 
-class Gate(WorkGate):
+class Gate(RequestGate):
     def __init__(self):
         self.is_open, self.in_flight = True, 0
 
@@ -70,19 +70,19 @@
         return self.in_flight
 
 
-class Peers(OrderPeers):
+class Peers(RolloutPeers):
     def __init__(self, rollout, own):
         self.rollout, self.own = rollout, own
         self.hidden = set()
 
-    def listed(self):
+    def endpoint_ids(self):
         return [i for i in self.rollout.runners if i != self.own and i not in self.hidden]
 
     async def exchange(self, own):
-        peers = [i for i in self.listed() if i not in self.rollout.paused]
+        peers = [i for i in self.endpoint_ids() if i not in self.rollout.paused]
         for endpoint_id in peers:
-            self.rollout.runners[endpoint_id].hear(own)
-        return [self.rollout.runners[i].row() for i in peers]
+            self.rollout.runners[endpoint_id].receive_row(own)
+        return [self.rollout.runners[i].own_row() for i in peers]
 
 
 class Rollout:
@@ -108,8 +108,8 @@
         gate = self.gates[endpoint_id] = Gate()
         clock, rng = (lambda: self.now_s), random.Random(endpoint_id)
         client = ModelLogClient(self.log, clock)
-        turns = TurnLog(client, "gj-west", "drafter") if self.has_log else None
-        self.runners[endpoint_id] = OrderRunner(
+        turns = LoadTurnLog(client, "gj-west", "drafter") if self.has_log else None
+        self.runners[endpoint_id] = ReconcileLoop(
             endpoint_id, "drafter", lambda: self.view, engine, peers, gate, clock, rng, turns
         )
 
@@ -457,9 +457,9 @@
             async with anyio.create_task_group() as group, client_pool() as pool:
                 await group.start(server.run_until_stopped)
                 control = HttpEngineControl(f"http://{server.address}", pool)
-                taken = await control.order(Order({"drafter": "v2"}, ("gu",), "decode", 5))
-                fenced = await control.order(Order({"drafter": "v1"}, (), "both", 4))
-                state = await control.state()
+                taken = await control.send_order(Order({"drafter": "v2"}, ("gu",), "decode", 5))
+                fenced = await control.send_order(Order({"drafter": "v1"}, (), "both", 4))
+                state = await control.read_state()
                 group.cancel_scope.cancel()
             return taken, fenced, state
 
