--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -9,7 +9,7 @@
 import anyio.abc
 import attrs
 
-from beryljunction.entry.callers import AccountIndex, chat_request, plain_request
+from beryljunction.entry.callers import ApiKeyIndex, parse_chat_request, parse_plain_request
 from beryljunction.entry.exchanges import Exchange
 from beryljunction.entry.relays import Relay
 from beryljunction.entry.router import Router
@@ -99,7 +99,7 @@
         self.view = view
         self._router.view = view
         self.uploads.view = view
-        self._accounts = AccountIndex(view.accounts)
+        self._accounts = ApiKeyIndex(view.accounts)
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         """Hold the connection pool open and run the silence timeouts until cancelled."""
@@ -144,7 +144,7 @@
                 RefusalCode.TOO_LARGE, f"expected {limits.header_bytes} bytes of headers"
             )
         headers = dict(scope["headers"])
-        account = self._accounts.account_of(headers)
+        account = self._accounts.authenticate(headers)
         if isinstance(account, Refusal):
             return account
         body = await self.uploads.read(receive, headers, account)
@@ -221,7 +221,7 @@
         return None
 
     async def _chat(self, exchange: Exchange) -> Refusal | None:
-        request = chat_request(exchange.body, self.view, exchange.account)
+        request = parse_chat_request(exchange.body, self.view, exchange.account)
         return (
             request if isinstance(request, Refusal) else await self._router.route(exchange, request)
         )
@@ -231,7 +231,7 @@
         query = exchange.scope["query_string"].decode("latin-1")
         path = f"/{rest}?{query}" if query else f"/{rest}"
         headers = exchange.scope["headers"]
-        request = plain_request(
+        request = parse_plain_request(
             service, exchange.method, path, exchange.body, headers, self.view, exchange.account
         )
         return (
--- a/src/beryljunction/entry/callers.py
+++ b/src/beryljunction/entry/callers.py
@@ -10,7 +10,7 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.settings import AccountSettings, ResolvedSettings
 
-__all__ = ["AccountIndex", "CallerRequest", "chat_request", "plain_request"]
+__all__ = ["ApiKeyIndex", "ClientRequest", "parse_chat_request", "parse_plain_request"]
 
 _BYTES_PER_TOKEN = 4
 _DEFAULT_OUTPUT_TOKENS = 256
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class CallerRequest:
+class ClientRequest:
     """A validated client request."""
 
     service: str
@@ -52,7 +52,7 @@
     output_tokens: int = 0
 
 
-class AccountIndex:
+class ApiKeyIndex:
     """Client accounts by the SHA-256 digest of their API key.
 
     The lookup compares only digests, which reveal nothing about the keys, and the final comparison
@@ -62,7 +62,7 @@
     def __init__(self, accounts: Mapping[str, AccountSettings]) -> None:
         self._names_by_digest = {row.key_sha256: name for name, row in accounts.items()}
 
-    def account_of(self, headers: Mapping[bytes, bytes]) -> str | Refusal:
+    def authenticate(self, headers: Mapping[bytes, bytes]) -> str | Refusal:
         """Return the client account of the request's API key, or a refusal."""
         given = headers.get(b"authorization", b"")
         digest = hashlib.sha256(given.removeprefix(_BEARER)).hexdigest()
@@ -73,7 +73,9 @@
         return name
 
 
-def chat_request(body: bytes, view: ResolvedSettings, account: str) -> CallerRequest | Refusal:
+def parse_chat_request(
+    body: bytes, view: ResolvedSettings, account: str
+) -> ClientRequest | Refusal:
     """Validate the body of a chat completion and return the request."""
     try:
         data = json.loads(body)
@@ -86,7 +88,7 @@
     if service is None:
         message = f"model: expected one that is served here, got {data['model']!r}"
         return Refusal(RefusalCode.NOT_FOUND, message, Ran.NO)
-    return CallerRequest(
+    return ClientRequest(
         service=service,
         body=body,
         method="POST",
@@ -100,7 +102,7 @@
     )
 
 
-def plain_request(
+def parse_plain_request(
     service: str,
     method: str,
     path: str,
@@ -108,7 +110,7 @@
     headers: Iterable[tuple[bytes, bytes]],
     view: ResolvedSettings,
     account: str,
-) -> CallerRequest | Refusal:
+) -> ClientRequest | Refusal:
     """Validate a call of a plain service; method, path, headers and body are forwarded."""
     settings = view.services.get(service)
     if settings is None or settings.kind != "plain":
@@ -120,7 +122,7 @@
     )
     effective = view.service_for(service, account)
     idempotent = effective.idempotent or method in _IDEMPOTENT_METHODS
-    return CallerRequest(service, body, method, path, passed, idempotent)
+    return ClientRequest(service, body, method, path, passed, idempotent)
 
 
 def _chat_problem(data: Any) -> str | None:
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from beryljunction.entry.callers import CallerRequest
+from beryljunction.entry.callers import ClientRequest
 from beryljunction.entry.exchanges import Exchange
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.tickets import TicketRouter
@@ -62,7 +62,7 @@
         self._budget = RetryBudget()
         self._random = random.Random()
 
-    async def route(self, exchange: Exchange, request: CallerRequest) -> Refusal | None:
+    async def route(self, exchange: Exchange, request: ClientRequest) -> Refusal | None:
         """Route the request to an endpoint; return None if the caller received its answer."""
         self._timeline.add("arrived", exchange.caller.request_id, request.service)
         chat_key = chat_key_of(exchange.account, request.chat_id) if request.chat_id else None
@@ -134,7 +134,7 @@
         return self.view.services[envelope.service].silence_s
 
     def _query(
-        self, exchange: Exchange, request: CallerRequest, chat_key: int | None
+        self, exchange: Exchange, request: ClientRequest, chat_key: int | None
     ) -> PlacementQuery:
         return PlacementQuery(
             request.service,
@@ -145,7 +145,7 @@
         )
 
     def _envelope(
-        self, exchange: Exchange, request: CallerRequest, chat_key: int | None
+        self, exchange: Exchange, request: ClientRequest, chat_key: int | None
     ) -> Envelope:
         return Envelope(
             request_id=exchange.caller.request_id,
