--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -10,12 +10,12 @@
 import attrs
 
 from beryljunction.entry.callers import ApiKeyIndex, parse_chat_request, parse_plain_request
-from beryljunction.entry.exchanges import Exchange
+from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.relays import Relay
 from beryljunction.entry.router import Router
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
-from beryljunction.entry.writers import KEY_HEADER, TICKET_HEADER, CallerWriter
+from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER, ResponseWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, client_pool, wait_disconnect
 from beryljunction.settings import EntryFile, ResolvedSettings
@@ -35,7 +35,7 @@
 _STREAMS_PREFIX = "/v1/streams/"
 _SERVICES_PREFIX = "/services/"
 _CANCEL_TIMEOUT_S = 3.0
-_EARLIER_REQUEST_HEADERS = frozenset((TICKET_HEADER, KEY_HEADER))
+_EARLIER_REQUEST_HEADERS = frozenset((TICKET_HEADER, IDEMPOTENCY_KEY_HEADER))
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
     service: str
 
 
-_Handler = Callable[[Exchange], Awaitable[Refusal | None]]
+_Handler = Callable[[RequestContext], Awaitable[Refusal | None]]
 
 
 class EntryApp(Stoppable):
@@ -121,20 +121,20 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one HTTP request."""
-        caller = CallerWriter(send, uuid.uuid4().hex)
+        writer = ResponseWriter(send, uuid.uuid4().hex)
         self._in_flight += 1
         try:
-            exchange = await self._read_request(scope, receive, caller)
-            if isinstance(exchange, Refusal):
-                await self._refuse(caller, exchange)
+            context = await self._read_request(scope, receive, writer)
+            if isinstance(context, Refusal):
+                await self._refuse(writer, context)
             else:
-                await self._serve(exchange, receive)
+                await self._serve(context, receive)
         finally:
             self._in_flight -= 1
 
     async def _read_request(
-        self, scope: Scope, receive: Receive, caller: CallerWriter
-    ) -> Exchange | Refusal:
+        self, scope: Scope, receive: Receive, writer: ResponseWriter
+    ) -> RequestContext | Refusal:
         """Check limits and API key and read the body, before the path and body are parsed."""
         limits = self.view.limits
         if self.leaving or self._in_flight > limits.connections:
@@ -154,7 +154,7 @@
         if isinstance(body, RefusalCode):
             message = f"expected at most {limits.body_bytes} bytes within {limits.body_s:g} s"
             return _unread_refusal(scope, body, message)
-        return Exchange(scope, headers, account, body, caller)
+        return RequestContext(scope, headers, account, body, writer)
 
     def _overload_refusal(self, scope: Scope) -> Refusal:
         """Return the refusal for a request that is rejected before its body is read."""
@@ -164,84 +164,86 @@
         message = f"expected at most {self.view.limits.connections} requests at the same time"
         return _unread_refusal(scope, RefusalCode.OVERLOADED, message, 1.0)
 
-    async def _serve(self, exchange: Exchange, receive: Receive) -> None:
-        handler = self._handler(exchange)
+    async def _serve(self, context: RequestContext, receive: Receive) -> None:
+        handler = self._handler(context)
         async with anyio.create_task_group() as group:
             group.start_soon(wait_disconnect, receive, group.cancel_scope)
-            refusal = await handler(exchange)
+            refusal = await handler(context)
             if refusal is not None:
-                await self._refuse(exchange.caller, refusal)
+                await self._refuse(context.response_writer, refusal)
             group.cancel_scope.cancel()
-        if not exchange.caller.complete:
-            await self._cancel_relay(exchange)
+        if not context.response_writer.complete:
+            await self._cancel_relay(context)
 
-    async def _cancel_relay(self, exchange: Exchange) -> None:
+    async def _cancel_relay(self, context: RequestContext) -> None:
         """Tell the sidecar that the caller disconnected, so that it stops generating the answer."""
-        self.timeline.add("hung_up", exchange.caller.request_id)
-        if exchange.relay is not None:
+        self.timeline.add("hung_up", context.response_writer.request_id)
+        if context.relay is not None:
             with anyio.move_on_after(_CANCEL_TIMEOUT_S, shield=True):
-                await exchange.relay.cancel()
+                await context.relay.cancel()
 
-    def _handler(self, exchange: Exchange) -> _Handler:
-        handler = self._routes.get((exchange.method, exchange.path))
+    def _handler(self, context: RequestContext) -> _Handler:
+        handler = self._routes.get((context.method, context.path))
         if handler is not None:
             return handler
         for prefix, prefixed in self._prefixes:
-            if exchange.path.startswith(prefix):
+            if context.path.startswith(prefix):
                 return prefixed
         return self._not_found
 
-    async def _not_found(self, exchange: Exchange) -> Refusal:
+    async def _not_found(self, context: RequestContext) -> Refusal:
         known = ", ".join(f"{method} {path}" for method, path in self._routes)
-        got = f"{exchange.method} {exchange.path}"
+        got = f"{context.method} {context.path}"
         return _not_run_refusal(RefusalCode.NOT_FOUND, f"expected one of {known}, got {got}")
 
-    async def _models(self, exchange: Exchange) -> None:
+    async def _models(self, context: RequestContext) -> None:
         rows = [
             {"id": model, "object": "model", "created": 0, "owned_by": name}
             for name, service in self.view.services.items()
             for model in service.models
         ]
-        await exchange.caller.json(json.dumps({"object": "list", "data": rows}).encode())
+        await context.response_writer.send_json(
+            json.dumps({"object": "list", "data": rows}).encode()
+        )
 
-    async def _ticket(self, exchange: Exchange) -> Refusal | None:
+    async def _ticket(self, context: RequestContext) -> Refusal | None:
         """Return a ticket; a request that is sent with it runs at most once."""
         try:
-            requested = decode(exchange.body, _ServiceWish)
+            requested = decode(context.body, _ServiceWish)
         except ValueError as error:
             return _not_run_refusal(RefusalCode.BAD_REQUEST, str(error))
         if requested.service not in self.view.services:
             return _not_run_refusal(
                 RefusalCode.NOT_FOUND, f"expected a service, got {requested.service!r}"
             )
-        ticket = await self._router.fetch_ticket(requested.service, exchange.account)
+        ticket = await self._router.fetch_ticket(requested.service, context.account)
         if isinstance(ticket, Refusal):
             return ticket
-        await exchange.caller.json(encode(TicketGrant(ticket)))
+        await context.response_writer.send_json(encode(TicketGrant(ticket)))
         return None
 
-    async def _chat(self, exchange: Exchange) -> Refusal | None:
-        request = parse_chat_request(exchange.body, self.view, exchange.account)
+    async def _chat(self, context: RequestContext) -> Refusal | None:
+        request = parse_chat_request(context.body, self.view, context.account)
         return (
-            request if isinstance(request, Refusal) else await self._router.route(exchange, request)
+            request if isinstance(request, Refusal) else await self._router.route(context, request)
         )
 
-    async def _plain(self, exchange: Exchange) -> Refusal | None:
-        service, _, rest = exchange.path.removeprefix(_SERVICES_PREFIX).partition("/")
-        query = exchange.scope["query_string"].decode("latin-1")
+    async def _plain(self, context: RequestContext) -> Refusal | None:
+        service, _, rest = context.path.removeprefix(_SERVICES_PREFIX).partition("/")
+        query = context.scope["query_string"].decode("latin-1")
         path = f"/{rest}?{query}" if query else f"/{rest}"
-        headers = exchange.scope["headers"]
+        headers = context.scope["headers"]
         request = parse_plain_request(
-            service, exchange.method, path, exchange.body, headers, self.view, exchange.account
+            service, context.method, path, context.body, headers, self.view, context.account
         )
         return (
-            request if isinstance(request, Refusal) else await self._router.route(exchange, request)
+            request if isinstance(request, Refusal) else await self._router.route(context, request)
         )
 
-    async def _resume(self, exchange: Exchange) -> Refusal | None:
+    async def _resume(self, context: RequestContext) -> Refusal | None:
         """Resume a stream that any entry began, after the last event the caller received."""
-        stream_id = exchange.path.removeprefix(_STREAMS_PREFIX)
-        position = event_position(exchange.header(b"last-event-id") or f"{stream_id}.0")
+        stream_id = context.path.removeprefix(_STREAMS_PREFIX)
+        position = event_position(context.header(b"last-event-id") or f"{stream_id}.0")
         if position is None or stream_id not in (str(position[0]), position[0].request_id):
             message = "expected /v1/streams/STREAM with the id of an event of it as Last-Event-ID"
             return _not_run_refusal(RefusalCode.BAD_REQUEST, message)
@@ -250,15 +252,15 @@
         if endpoint is None:
             message = f"expected a live endpoint, got {name.endpoint_id!r}; ask anew"
             return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
-        exchange.caller.request_id = name.request_id
-        attach = Attach(name.request_id, exchange.account, after=after, resume=True)
+        context.response_writer.request_id = name.request_id
+        attach = Attach(name.request_id, context.account, after=after, resume=True)
         silence_s = self.view.services[endpoint.service].silence_s
-        relay = Relay(self._sidecars, endpoint, attach, exchange.caller, silence_s)
+        relay = Relay(self._sidecars, endpoint, attach, context.response_writer, silence_s)
         return await relay.resume(name)
 
-    async def _refuse(self, caller: CallerWriter, refusal: Refusal) -> None:
-        self.timeline.add("refused", caller.request_id, refusal.code)
-        await caller.refuse(refusal)
+    async def _refuse(self, writer: ResponseWriter, refusal: Refusal) -> None:
+        self.timeline.add("refused", writer.request_id, refusal.code)
+        await writer.send_error(refusal)
 
 
 def _unread_refusal(
--- a/src/beryljunction/entry/exchanges.py
+++ b/src/beryljunction/entry/exchanges.py
@@ -3,14 +3,14 @@
 import attrs
 
 from beryljunction.entry.relays import Relay
-from beryljunction.entry.writers import CallerWriter
+from beryljunction.entry.writers import ResponseWriter
 from beryljunction.servers import Scope
 
-__all__ = ["Exchange"]
+__all__ = ["RequestContext"]
 
 
 @attrs.define
-class Exchange:
+class RequestContext:
     """An authenticated client request and the writer of its answer.
 
     Attributes:
@@ -22,7 +22,7 @@
     headers: dict[bytes, bytes]
     account: str
     body: bytes
-    caller: CallerWriter
+    response_writer: ResponseWriter
     relay: Relay | None = None
 
     @property
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -10,7 +10,7 @@
 import attrs
 
 from beryljunction.entry.sidecars import BROKEN, NOT_CONNECTED, SidecarAnswer, SidecarClient
-from beryljunction.entry.writers import CallerWriter
+from beryljunction.entry.writers import ResponseWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamName
 from beryljunction.tables import Endpoint
@@ -63,13 +63,13 @@
         client: SidecarClient,
         endpoint: Endpoint,
         attach: Attach,
-        caller: CallerWriter,
+        writer: ResponseWriter,
         silence_s: float,
     ) -> None:
         self._client = client
         self.endpoint = endpoint
         self._attach = attach
-        self._caller = caller
+        self._writer = writer
         self._silence_s = silence_s
         self._failures = 0
         self._checker: SequenceChecker | None = None
@@ -110,19 +110,19 @@
         if isinstance(step, Refusal):
             return await self._fail(step)
         if isinstance(step, _CompleteAnswer):
-            await self._caller.answer(step.status, step.headers, step.body)
+            await self._writer.send_response(step.status, step.headers, step.body)
         elif step.refusal is not None:
-            await self._caller.refuse(step.refusal)
+            await self._writer.send_error(step.refusal)
         else:
-            await self._caller.end()
+            await self._writer.end()
         return None
 
     async def _fail(self, refusal: Refusal) -> Refusal | None:
         """End an open stream with an error event; otherwise return the refusal for a retry."""
-        if not self._caller.streaming:
+        if not self._writer.streaming:
             return refusal
         broken = Refusal(RefusalCode.INCOMPLETE, refusal.message, Ran.YES)
-        await self._caller.refuse(broken)
+        await self._writer.send_error(broken)
         return None
 
     async def _attach_once(self) -> _ReadResult:
@@ -183,7 +183,7 @@
             if data:
                 # Waiting for a slow caller must not count as silence of the sidecar.
                 watch.paused = True
-                await self._caller.frames(data)
+                await self._writer.send_frames(data)
                 watch.paused = False
             watch.heard()
             if checker.gap:
@@ -195,7 +195,7 @@
     async def _open_stream(self, name: StreamName) -> SequenceChecker:
         if self._checker is None:
             self._checker = SequenceChecker(name, self._attach.after)
-            await self._caller.open_stream(name)
+            await self._writer.start_stream(name)
         else:
             self._checker.restart()
         return self._checker
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -6,11 +6,11 @@
 import attrs
 
 from beryljunction.entry.callers import ClientRequest
-from beryljunction.entry.exchanges import Exchange
+from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.tickets import TicketRouter
 from beryljunction.entry.tries import Tries
-from beryljunction.entry.writers import KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
+from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import (
@@ -62,19 +62,19 @@
         self._budget = RetryBudget()
         self._random = random.Random()
 
-    async def route(self, exchange: Exchange, request: ClientRequest) -> Refusal | None:
+    async def route(self, context: RequestContext, request: ClientRequest) -> Refusal | None:
         """Route the request to an endpoint; return None if the caller received its answer."""
-        self._timeline.add("arrived", exchange.caller.request_id, request.service)
-        chat_key = chat_key_of(exchange.account, request.chat_id) if request.chat_id else None
-        envelope = self._envelope(exchange, request, chat_key)
-        query = self._query(exchange, request, chat_key)
-        refers_to_earlier = exchange.header(TICKET_HEADER) or exchange.header(KEY_HEADER)
+        self._timeline.add("arrived", context.response_writer.request_id, request.service)
+        chat_key = chat_key_of(context.account, request.chat_id) if request.chat_id else None
+        envelope = self._envelope(context, request, chat_key)
+        query = self._query(context, request, chat_key)
+        refers_to_earlier = context.header(TICKET_HEADER) or context.header(IDEMPOTENCY_KEY_HEADER)
         if request.idempotent and not refers_to_earlier:
-            return await self._route_repeatable(exchange, envelope, request.body, query)
+            return await self._route_repeatable(context, envelope, request.body, query)
         candidates = self._placement.candidates(query, time.monotonic())
         envelope = attrs.evolve(envelope, idempotent=False)
         silence_s = self._silence_s(envelope)
-        return await self._tickets.route(exchange, envelope, request.body, candidates, silence_s)
+        return await self._tickets.route(context, envelope, request.body, candidates, silence_s)
 
     async def fetch_ticket(self, service: str, account: str) -> str | Refusal:
         """Return a ticket issued by one of the service's sidecars."""
@@ -87,7 +87,7 @@
         return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0)
 
     async def _route_repeatable(
-        self, exchange: Exchange, envelope: Envelope, body: bytes, query: PlacementQuery
+        self, context: RequestContext, envelope: Envelope, body: bytes, query: PlacementQuery
     ) -> Refusal | None:
         """Try the candidates in turn with a request that may safely run more than once."""
         attempts = self._attempts(query, envelope)
@@ -96,7 +96,7 @@
             attempt_envelope = _envelope_for_attempt(envelope, step)
             silence_s = self._silence_s(envelope)
             refusal = await self._tries.run(
-                exchange, step.endpoint, attempt_envelope, body, silence_s
+                context, step.endpoint, attempt_envelope, body, silence_s
             )
             if refusal is None:
                 self._budget.earn()
@@ -134,24 +134,24 @@
         return self.view.services[envelope.service].silence_s
 
     def _query(
-        self, exchange: Exchange, request: ClientRequest, chat_key: int | None
+        self, context: RequestContext, request: ClientRequest, chat_key: int | None
     ) -> PlacementQuery:
         return PlacementQuery(
             request.service,
             chat_key if chat_key is not None else self._random.getrandbits(64),
             self._zone,
             prefer_zone=self.view.services[request.service].kind == "plain",
-            hint=exchange.header(ROUTE_HINT_HEADER),
+            hint=context.header(ROUTE_HINT_HEADER),
         )
 
     def _envelope(
-        self, exchange: Exchange, request: ClientRequest, chat_key: int | None
+        self, context: RequestContext, request: ClientRequest, chat_key: int | None
     ) -> Envelope:
         return Envelope(
-            request_id=exchange.caller.request_id,
-            account=exchange.account,
+            request_id=context.response_writer.request_id,
+            account=context.account,
             service=request.service,
-            wait_s=self.view.service_for(request.service, exchange.account).deadline_s,
+            wait_s=self.view.service_for(request.service, context.account).deadline_s,
             chat_key=chat_key,
             chat_id=_chat_id_for_header(request.chat_id),
             prompt_tokens=request.prompt_tokens,
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from beryljunction.entry.exchanges import Exchange
+from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.tries import Tries
-from beryljunction.entry.writers import KEY_HEADER, TICKET_HEADER
+from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.systems import (
     GiveUp,
@@ -44,7 +44,7 @@
         untried: Candidates that have not received the request yet.
     """
 
-    exchange: Exchange
+    context: RequestContext
     envelope: Envelope
     body: bytes
     silence_s: float
@@ -64,21 +64,21 @@
 
     async def route(
         self,
-        exchange: Exchange,
+        context: RequestContext,
         envelope: Envelope,
         body: bytes,
         candidates: list[Endpoint],
         silence_s: float,
     ) -> Refusal | None:
         """Route the request to an endpoint; return None if the caller received its answer."""
-        ticket = exchange.header(TICKET_HEADER)
-        key = exchange.header(KEY_HEADER)
+        ticket = context.header(TICKET_HEADER)
+        key = context.header(IDEMPOTENCY_KEY_HEADER)
         if ticket is None and key is not None:
             claimed = await self._claim_key(envelope, body, key, candidates)
             if isinstance(claimed, Refusal):
                 return claimed
             ticket = claimed
-        pending = _PendingRequest(exchange, envelope, body, silence_s, list(candidates))
+        pending = _PendingRequest(context, envelope, body, silence_s, list(candidates))
         return await self._run_attempts(pending, TicketAttempts(candidates, ticket))
 
     async def fetch(self, candidates: list[Endpoint], account: str) -> str | None:
@@ -158,9 +158,9 @@
             pending.envelope, ticket=ticket, last_resort=is_last or not stamps, candidates=stamps
         )
         assert ticket is not None
-        pending.exchange.caller.put(TICKET_HEADER, ticket.encode())
+        pending.context.response_writer.set_header(TICKET_HEADER, ticket.encode())
         return await self._tries.run(
-            pending.exchange, endpoint, envelope, pending.body, pending.silence_s
+            pending.context, endpoint, envelope, pending.body, pending.silence_s
         )
 
     def _fresh_stamps(self, endpoints: list[Endpoint]) -> tuple[str, ...]:
--- a/src/beryljunction/entry/tries.py
+++ b/src/beryljunction/entry/tries.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from beryljunction.entry.exchanges import Exchange
+from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.relays import Relay
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.writers import ROUTE_HINT_HEADER
@@ -23,14 +23,14 @@
 
     async def run(
         self,
-        exchange: Exchange,
+        context: RequestContext,
         endpoint: Endpoint,
         envelope: Envelope,
         body: bytes,
         silence_s: float,
     ) -> Refusal | None:
         """Send the request to an endpoint; return None if the caller received its answer."""
-        caller = exchange.caller
+        writer = context.response_writer
         heard = self._sidecars.heard(endpoint)
         # The stamp known before sending: only the incarnation that received the request can prove
         # that it did not run.
@@ -44,9 +44,9 @@
             heard_age_s=age_s,
         )
         envelope = attrs.evolve(envelope, heard=stamp, heard_age_s=age_s)
-        caller.put(ROUTE_HINT_HEADER, endpoint.endpoint_id.encode())
-        exchange.relay = Relay(self._sidecars, endpoint, attach, caller, silence_s)
-        refusal = await exchange.relay.run(envelope, body)
+        writer.set_header(ROUTE_HINT_HEADER, endpoint.endpoint_id.encode())
+        context.relay = Relay(self._sidecars, endpoint, attach, writer, silence_s)
+        refusal = await context.relay.run(envelope, body)
         if refusal is not None:
             self._timeline.add("try_refused", envelope.request_id, refusal.code)
             if refusal.code is RefusalCode.LEAVING:
--- a/src/beryljunction/entry/writers.py
+++ b/src/beryljunction/entry/writers.py
@@ -7,10 +7,10 @@
 from beryljunction.streams import StreamName, error_event
 from beryljunction.wire import REQUEST_ID_HEADER, STREAM_HEADER, refusal_body
 
-__all__ = ["KEY_HEADER", "ROUTE_HINT_HEADER", "TICKET_HEADER", "CallerWriter"]
+__all__ = ["IDEMPOTENCY_KEY_HEADER", "ROUTE_HINT_HEADER", "TICKET_HEADER", "ResponseWriter"]
 
 ROUTE_HINT_HEADER = b"beryl-route-hint"
-KEY_HEADER = b"idempotency-key"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 TICKET_HEADER = b"beryl-ticket"
 _STATUS_BY_CODE = {
     RefusalCode.BAD_REQUEST: 400,
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class CallerWriter:
+class ResponseWriter:
     """Writes the response to one request.
 
     Attributes:
@@ -45,11 +45,11 @@
     complete: bool = False
     _extra_headers: dict[bytes, bytes] = attrs.field(factory=dict)
 
-    def put(self, name: bytes, value: bytes) -> None:
+    def set_header(self, name: bytes, value: bytes) -> None:
         """Set a header of the response, whichever kind it will be."""
         self._extra_headers[name] = value
 
-    async def refuse(self, refusal: Refusal) -> None:
+    async def send_error(self, refusal: Refusal) -> None:
         """End the response with an error: a JSON body, or an event if a stream is open."""
         body = refusal_body(refusal, self.request_id)
         if self.streaming:
@@ -62,7 +62,9 @@
         await respond(self._send, status, body, headers)
         self.complete = True
 
-    async def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    async def send_response(
+        self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
+    ) -> None:
         """Forward a complete answer of an endpoint."""
         forwarded = [(key, value) for key, value in headers if not key.startswith(_BERYL_PREFIX)]
         head = [*forwarded, *self._entry_headers()]
@@ -70,12 +72,12 @@
         await self._send({"type": "http.response.body", "body": body})
         self.complete = True
 
-    async def json(self, body: bytes) -> None:
+    async def send_json(self, body: bytes) -> None:
         """Send a JSON response that the entry itself produced."""
         await respond(self._send, 200, body, self._entry_headers())
         self.complete = True
 
-    async def open_stream(self, name: StreamName) -> None:
+    async def start_stream(self, name: StreamName) -> None:
         """Send the response head of a stream."""
         headers = [
             (b"content-type", b"text/event-stream"),
@@ -86,7 +88,7 @@
         await self._send({"type": "http.response.start", "status": 200, "headers": headers})
         self.streaming = True
 
-    async def frames(self, data: bytes) -> None:
+    async def send_frames(self, data: bytes) -> None:
         """Forward complete frames; blocks while the caller reads slowly."""
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
