--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -9,7 +9,7 @@
 from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.tickets import TicketRouter
-from beryljunction.entry.tries import Tries
+from beryljunction.entry.tries import AttemptRunner
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.settings import ResolvedSettings
@@ -56,8 +56,8 @@
         self._sidecars = sidecars
         self._timeline = timeline
         self._zone = availability_zone
-        self._tries = Tries(sidecars, timeline)
-        self._tickets = TicketRouter(endpoints, sidecars, self._tries, fleet_key)
+        self._attempt_runner = AttemptRunner(sidecars, timeline)
+        self._tickets = TicketRouter(endpoints, sidecars, self._attempt_runner, fleet_key)
         self._placement = EndpointSelector(endpoints, region=region)
         self._budget = RetryBudget()
         self._random = random.Random()
@@ -95,7 +95,7 @@
         while isinstance(step, Try):
             attempt_envelope = _envelope_for_attempt(envelope, step)
             silence_s = self._silence_s(envelope)
-            refusal = await self._tries.run(
+            refusal = await self._attempt_runner.run(
                 context, step.endpoint, attempt_envelope, body, silence_s
             )
             if refusal is None:
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -6,7 +6,7 @@
 
 from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.sidecars import SidecarClient
-from beryljunction.entry.tries import Tries
+from beryljunction.entry.tries import AttemptRunner
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.systems import (
@@ -55,11 +55,15 @@
     """Sends a request along its chain of tickets until one endpoint runs or refuses it."""
 
     def __init__(
-        self, endpoints: EndpointTable, sidecars: SidecarClient, tries: Tries, fleet_key: bytes
+        self,
+        endpoints: EndpointTable,
+        sidecars: SidecarClient,
+        attempt_runner: AttemptRunner,
+        fleet_key: bytes,
     ) -> None:
         self._endpoints = endpoints
         self._sidecars = sidecars
-        self._tries = tries
+        self._attempt_runner = attempt_runner
         self._mint = TicketMint(fleet_key)
 
     async def route(
@@ -159,7 +163,7 @@
         )
         assert ticket is not None
         pending.context.response_writer.set_header(TICKET_HEADER, ticket.encode())
-        return await self._tries.run(
+        return await self._attempt_runner.run(
             pending.context, endpoint, envelope, pending.body, pending.silence_s
         )
 
--- a/src/beryljunction/entry/tries.py
+++ b/src/beryljunction/entry/tries.py
@@ -11,10 +11,10 @@
 from beryljunction.timeline import Timeline
 from beryljunction.wire import Attach, Envelope
 
-__all__ = ["Tries"]
+__all__ = ["AttemptRunner"]
 
 
-class Tries:
+class AttemptRunner:
     """Runs single attempts for the routers, which choose the endpoints."""
 
     def __init__(self, sidecars: SidecarClient, timeline: Timeline) -> None:
