--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -9,7 +9,12 @@
 import anyio
 import attrs
 
-from beryljunction.entry.sidecars import BROKEN, NOT_CONNECTED, SidecarAnswer, SidecarClient
+from beryljunction.entry.sidecars import (
+    CONNECT_ERRORS,
+    CONNECTION_ERRORS,
+    SidecarClient,
+    SidecarResponse,
+)
 from beryljunction.entry.writers import ResponseWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamName
@@ -77,10 +82,10 @@
 
     async def run(self, envelope: Envelope, body: bytes) -> Refusal | None:
         """Send the request; return None if the caller received its answer."""
-        opening = self._client.run(self.endpoint, envelope, body, self._silence_s)
+        opening = self._client.run_request(self.endpoint, envelope, body, self._silence_s)
         try:
             step = await self._read_connection(opening)
-        except NOT_CONNECTED:
+        except CONNECT_ERRORS:
             self._note_failure()
             message = "the endpoint's sidecar did not take the connection"
             return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
@@ -104,7 +109,7 @@
                 self._note_failure()
                 return await self._fail(self._unknown_outcome())
             if step.failed:
-                await self._client.drop_idle(self.endpoint)
+                await self._client.close_idle_connections(self.endpoint)
             await anyio.sleep(_BACKOFF_S * self._failures)
             step = await self._attach_once()
         if isinstance(step, Refusal):
@@ -132,11 +137,11 @@
             return await self._read_connection(
                 self._client.attach(self.endpoint, attach, self._silence_s)
             )
-        except NOT_CONNECTED:
+        except CONNECT_ERRORS:
             return _Reattach(failed=True)
 
     async def _read_connection(
-        self, opening: AbstractAsyncContextManager[SidecarAnswer]
+        self, opening: AbstractAsyncContextManager[SidecarResponse]
     ) -> _ReadResult:
         """Read one connection to its end; ask for a reattach if it ended early."""
         step: _ReadResult = _Reattach(failed=True)
@@ -144,8 +149,8 @@
         try:
             async with opening as answer:
                 step = await self._read_answer(answer)
-        except BROKEN as error:
-            if isinstance(error, NOT_CONNECTED):
+        except CONNECTION_ERRORS as error:
+            if isinstance(error, CONNECT_ERRORS):
                 raise
         if self._checker is not None and self._checker.complete:
             return _StreamEnd(None)
@@ -159,7 +164,7 @@
     def _position(self) -> int:
         return self._checker.last if self._checker is not None else 0
 
-    async def _read_answer(self, answer: SidecarAnswer) -> _ReadResult:
+    async def _read_answer(self, answer: SidecarResponse) -> _ReadResult:
         if answer.outcome is Outcome.STREAM and answer.name is not None:
             if not answer.name.is_rest_of(self._resumed):
                 message = "expected a stream that is still kept; its sidecar has started anew"
@@ -175,7 +180,7 @@
             return _CompleteAnswer(answer.response.status, headers, body)
         return _Reattach(failed=False)
 
-    async def _read_stream(self, answer: SidecarAnswer, name: StreamName) -> _ReadResult:
+    async def _read_stream(self, answer: SidecarResponse, name: StreamName) -> _ReadResult:
         checker = await self._open_stream(name)
         watch = answer.watch
         async for chunk in answer.response.aiter_stream():
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -128,7 +128,7 @@
         tokens = envelope.prompt_tokens + envelope.output_tokens
         moved = ChatMoved(envelope.chat_key, server.endpoint_id, tokens)
         for holder in attempts.pointer_holders(server):
-            await self._sidecars.tell(holder, MOVED_PATH, moved)
+            await self._sidecars.send_control(holder, MOVED_PATH, moved)
 
     def _silence_s(self, envelope: Envelope) -> float:
         return self.view.services[envelope.service].silence_s
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -40,7 +40,13 @@
     refusal_from_body,
 )
 
-__all__ = ["BROKEN", "NOT_CONNECTED", "Heard", "SidecarAnswer", "SidecarClient"]
+__all__ = [
+    "CONNECTION_ERRORS",
+    "CONNECT_ERRORS",
+    "ReceivedStamp",
+    "SidecarResponse",
+    "SidecarClient",
+]
 
 # Connecting within a region takes a few milliseconds. A host that is gone does not answer at all,
 # and waiting for it delays the caller's first token.
@@ -49,24 +55,24 @@
 # A claim itself waits up to two seconds for the log.
 _CLAIM_TIMEOUT_S = 4.0
 _OUTCOME_BY_HEADER = {outcome.encode(): outcome for outcome in Outcome}
-NOT_CONNECTED = (httpcore.ConnectError, httpcore.ConnectTimeout)
-BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+CONNECT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
+CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 
 @attrs.frozen
-class Heard:
+class ReceivedStamp:
     """A sidecar's stamp and when it was received, as seconds since this host's boot."""
 
     stamp: Stamp
-    heard_s: float
+    received_s: float
 
     @property
     def age_s(self) -> float:
         """Seconds since the stamp was received."""
-        return boot_time_s() - self.heard_s
+        return boot_time_s() - self.received_s
 
 
-class SidecarAnswer:
+class SidecarResponse:
     """A sidecar's response whose connection is still open.
 
     Attributes:
@@ -99,21 +105,21 @@
     ) -> None:
         self._pool = pool
         self._watches = watches
-        self._last_stamps: dict[str, Heard] = {}
+        self._last_stamps: dict[str, ReceivedStamp] = {}
         self._fleet_key_header = (FLEET_KEY_HEADER, fleet_key.encode())
         self._clock = clock
         self._membership = membership
 
-    def run(
+    def run_request(
         self, endpoint: Endpoint, envelope: Envelope, body: bytes, silence_s: float
-    ) -> AbstractAsyncContextManager[SidecarAnswer]:
+    ) -> AbstractAsyncContextManager[SidecarResponse]:
         """Send a request; the block ends with httpcore's ReadTimeout if the sidecar is silent."""
         headers = [(ENVELOPE_HEADER, encode(envelope))]
         return self._open(endpoint, RUN_PATH, headers, body, silence_s)
 
     def attach(
         self, endpoint: Endpoint, attach: Attach, silence_s: float
-    ) -> AbstractAsyncContextManager[SidecarAnswer]:
+    ) -> AbstractAsyncContextManager[SidecarResponse]:
         """Continue an answer on a new connection; times out on silence like :meth:`run`."""
         return self._open(endpoint, ATTACH_PATH, [], encode(attach), silence_s)
 
@@ -121,11 +127,11 @@
         """Record that a sidecar could not be reached."""
         self._membership.note_failure(endpoint.endpoint_id, time.monotonic())
 
-    async def drop_idle(self, endpoint: Endpoint) -> None:
+    async def close_idle_connections(self, endpoint: Endpoint) -> None:
         """Close the idle connections to a sidecar after one connection to it failed."""
         await drop_idle(self._pool, f"http://{endpoint.address}")
 
-    def avoid(self, endpoint: Endpoint) -> None:
+    def deprioritize(self, endpoint: Endpoint) -> None:
         """Try a leaving endpoint only as the last candidate for the next few seconds.
 
         The preference expires because an operator may undo a drain; the host list shows whether
@@ -135,19 +141,19 @@
 
     async def ticket(self, endpoint: Endpoint, account: str) -> str | None:
         """Fetch a ticket; return None if the sidecar gave none. Safe to repeat."""
-        body = await self.tell(endpoint, TICKET_PATH, TicketWish(account))
+        body = await self.send_control(endpoint, TICKET_PATH, TicketWish(account))
         try:
             return None if body is None else decode(body, TicketGrant).ticket
         except ValueError:
             return None
 
-    def heard(self, endpoint: Endpoint) -> Heard | None:
+    def last_stamp(self, endpoint: Endpoint) -> ReceivedStamp | None:
         """Return the last stamp received from the endpoint's sidecar."""
         return self._last_stamps.get(endpoint.endpoint_id)
 
     def _note_stamp(self, endpoint: Endpoint, stamp: Stamp | None) -> None:
         if stamp is not None and stamp.endpoint_id == endpoint.endpoint_id:
-            self._last_stamps[endpoint.endpoint_id] = Heard(stamp, boot_time_s())
+            self._last_stamps[endpoint.endpoint_id] = ReceivedStamp(stamp, boot_time_s())
             self._membership.note_answer(endpoint.endpoint_id, time.monotonic(), stamp.incarnation)
 
     async def claim(self, endpoint: Endpoint, wish: KeyWish) -> str | Refusal | None:
@@ -161,15 +167,15 @@
                     if answer.outcome is Outcome.REFUSAL:
                         return refusal_from_body(body)
                     return decode(body, TicketGrant).ticket
-            except (*NOT_CONNECTED, *BROKEN, ValueError):
+            except (*CONNECT_ERRORS, *CONNECTION_ERRORS, ValueError):
                 return None
         return None
 
     async def cancel(self, endpoint: Endpoint, cancel: Cancel) -> None:
         """Tell a sidecar that the caller disconnected; if this fails, work is merely wasted."""
-        await self.tell(endpoint, CANCEL_PATH, cancel)
+        await self.send_control(endpoint, CANCEL_PATH, cancel)
 
-    async def tell(self, endpoint: Endpoint, path: str, message: Any) -> bytes | None:
+    async def send_control(self, endpoint: Endpoint, path: str, message: Any) -> bytes | None:
         """Send a control message; return the answer's body, or None without one in time."""
         with anyio.move_on_after(_CONTROL_TIMEOUT_S):
             try:
@@ -178,7 +184,7 @@
                 ) as answer:
                     body = await answer.response.aread()
                     return body if answer.outcome is Outcome.DONE else None
-            except (*NOT_CONNECTED, *BROKEN):
+            except (*CONNECT_ERRORS, *CONNECTION_ERRORS):
                 return None
         return None
 
@@ -190,7 +196,7 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
         silence_s: float,
-    ) -> AsyncIterator[SidecarAnswer]:
+    ) -> AsyncIterator[SidecarResponse]:
         common_headers = [
             self._fleet_key_header,
             (HLC_HEADER, self._clock.stamp()),
@@ -204,7 +210,7 @@
                 content=body,
                 extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
-                answer = SidecarAnswer(response, watch)
+                answer = SidecarResponse(response, watch)
                 self._clock.heard_stamp(answer.hlc)
                 watch.heard()
                 self._note_stamp(endpoint, answer.stamp)
--- a/src/beryljunction/entry/tries.py
+++ b/src/beryljunction/entry/tries.py
@@ -31,7 +31,7 @@
     ) -> Refusal | None:
         """Send the request to an endpoint; return None if the caller received its answer."""
         writer = context.response_writer
-        heard = self._sidecars.heard(endpoint)
+        heard = self._sidecars.last_stamp(endpoint)
         # The stamp known before sending: only the incarnation that received the request can prove
         # that it did not run.
         stamp = heard.stamp.to_text() if heard is not None else ""
@@ -50,5 +50,5 @@
         if refusal is not None:
             self._timeline.add("try_refused", envelope.request_id, refusal.code)
             if refusal.code is RefusalCode.LEAVING:
-                self._sidecars.avoid(endpoint)
+                self._sidecars.deprioritize(endpoint)
         return refusal
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -514,7 +514,7 @@
         system.clock._started_s -= elapsed_s
     heard = path.entry_app._sidecars._last_stamps
     for endpoint_id, row in heard.items():
-        heard[endpoint_id] = attrs.evolve(row, heard_s=row.heard_s - elapsed_s)
+        heard[endpoint_id] = attrs.evolve(row, received_s=row.received_s - elapsed_s)
 
 
 class TestDisconnect:
