--- a/src/beryljunction/entry/uploads.py
+++ b/src/beryljunction/entry/uploads.py
@@ -27,7 +27,7 @@
         self._uploads = UploadLimiter(view.limits.upload_bytes)
 
     @property
-    def held_bytes(self) -> int:
+    def reserved_bytes(self) -> int:
         """Bytes that currently count against the limit."""
         return self._uploads.held_bytes
 
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -117,7 +117,7 @@
             await path.sidecar(ScriptedEngine())
             entry = await path.entry()
             group.start_soon(send_slowly, path, entry, 700)
-            await eventually(lambda: path.entry_app.uploads.held_bytes == 700)
+            await eventually(lambda: path.entry_app.uploads.reserved_bytes == 700)
             length = (
                 ("content-length", "600") if header == "content-length" else (header, "chunked")
             )
