--- a/src/beryljunction/bench/relay_parts.py
+++ b/src/beryljunction/bench/relay_parts.py
@@ -111,7 +111,7 @@
 
 def _entry(target: str) -> Node:
     node = Node.entry(EntryFile(_process("entry")), _view())
-    node.role.take_hosts([HostRow("sidecar", _ENDPOINT_ID, MODEL, _ZONE, "prairies", target)])
+    node.role.update_hosts([HostRow("sidecar", _ENDPOINT_ID, MODEL, _ZONE, "prairies", target)])
     return node
 
 
--- a/src/beryljunction/node/__init__.py
+++ b/src/beryljunction/node/__init__.py
@@ -4,7 +4,7 @@
 from beryljunction.node.entry_role import EntryRole
 from beryljunction.node.hosts import HostFollower, HostView
 from beryljunction.node.process import Node
-from beryljunction.node.roles import NodeRole, RoleTools
+from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.operators import NodeStatus
 
@@ -14,9 +14,9 @@
     "HostFollower",
     "HostView",
     "Node",
-    "NodeRole",
+    "ProcessRole",
     "NodeStatus",
     "OperatorClient",
-    "RoleTools",
+    "RoleContext",
     "SidecarRole",
 ]
--- a/src/beryljunction/node/entry_role.py
+++ b/src/beryljunction/node/entry_role.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.entry import EntryApp
-from beryljunction.node.roles import LEAVING, NodeRole, RoleTools
+from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
 from beryljunction.operators import NodeStatus
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stores import HostRow
@@ -19,16 +19,16 @@
 _TICK_INTERVAL_S = 0.5
 
 
-class EntryRole(NodeRole):
+class EntryRole(ProcessRole):
     """An entry: relays client requests to the endpoints on the host list."""
 
     name = "entry"
-    is_mutual = False
+    requires_client_certificate = False
 
-    def __init__(self, file: EntryFile, view: ResolvedSettings, tools: RoleTools) -> None:
+    def __init__(self, file: EntryFile, view: ResolvedSettings, context: RoleContext) -> None:
         self.process = file.process
         self.endpoints = EndpointTable()
-        self.app = self.part = self.entry = EntryApp(file, view, self.endpoints, tools.tls)
+        self.app = self.stoppable = self.entry = EntryApp(file, view, self.endpoints, context.tls)
         self.timeline = self.entry.timeline
         self.routes = {}
         self._listed_incarnations: dict[str, str] = {}
@@ -42,11 +42,11 @@
                 await anyio.sleep(_TICK_INTERVAL_S)
                 self.entry.membership.tick(time.monotonic())
 
-    def apply(self, view: ResolvedSettings) -> None:
+    def apply_settings(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.entry.apply(view)
 
-    def take_hosts(self, rows: list[HostRow]) -> None:
+    def update_hosts(self, rows: list[HostRow]) -> None:
         """Update the membership, which combines the list with this entry's own observations."""
         now_s = time.monotonic()
         membership = self.entry.membership
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -18,7 +18,7 @@
 from beryljunction.node.front import FleetFront
 from beryljunction.node.hosts import HostFollower
 from beryljunction.node.operator import OperatorKeys, operator_app, operator_keys
-from beryljunction.node.roles import NodeRole, RoleTools
+from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.operators import NodeStatus
@@ -59,11 +59,15 @@
     def __init__(
         self,
         process: ProcessSettings,
-        kind: type[NodeRole],
-        make_role: Callable[[RoleTools], NodeRole],
+        kind: type[ProcessRole],
+        make_role: Callable[[RoleContext], ProcessRole],
         view: ResolvedSettings,
     ) -> None:
-        self._tls = TlsContexts(process.tls, kind.is_mutual) if process.tls is not None else None
+        self._tls = (
+            TlsContexts(process.tls, kind.requires_client_certificate)
+            if process.tls is not None
+            else None
+        )
         self.metrics = Metrics(kind.name)
         self.settings = SettingsState(process.region)
         self.ended = anyio.Event()
@@ -72,11 +76,11 @@
         self._stopping = anyio.Event()
         self._pools = {name: self._pool(name) for name in (*_PLATFORM_POOLS, *_FLEET_POOLS)}
         self._log = HttpLogClient(process.log_address, self._pools["log"])
-        self.role = role = make_role(self._tools(process))
+        self.role = role = make_role(self._role_context(process))
         role.timeline.listen(EventLog(process.log_sample_ratio))
         role.timeline.listen(self.metrics.count_event)
         hosts = HttpHostList(self._pools["hosts"], process.hosts_address)
-        self.hosts = HostFollower(hosts, role.take_hosts, role.timeline)
+        self.hosts = HostFollower(hosts, role.update_hosts, role.timeline)
         self._follower = self._settings_follower(process)
         server_tls = self._tls.server if self._tls is not None else None
         self.requests = Server(self._request_app(process), bind(process.listen), server_tls)
@@ -108,7 +112,7 @@
             settings_version=self._view.version,
             hosts_version=self.hosts.view.version,
             not_ready=self._not_ready(),
-            in_flight=self.role.part.in_flight,
+            in_flight=self.role.stoppable.in_flight,
         )
         return self.role.status(common)
 
@@ -171,7 +175,7 @@
         a refused caller would see an error for a planned stop.
         """
         await anyio.sleep(SETTLE_S)
-        stop = GracefulStop(self.role.part, [self.requests], settle_s=0.0)
+        stop = GracefulStop(self.role.stoppable, [self.requests], settle_s=0.0)
         stop.request()
         await stop.run()
 
@@ -198,13 +202,13 @@
     def _client_tls(self) -> ssl.SSLContext | None:
         return self._tls.client if self._tls is not None else None
 
-    def _tools(self, process: ProcessSettings) -> RoleTools:
-        return RoleTools(
+    def _role_context(self, process: ProcessSettings) -> RoleContext:
+        return RoleContext(
             tls=self._client_tls,
             fleet=self._pools["fleet"],
             peers=self._pools["peers"],
             settings_version=lambda: self.settings.version,
-            on_newer=self._note_newer_settings,
+            on_newer_settings=self._note_newer_settings,
             log=self._log if process.log_address else None,
         )
 
@@ -227,7 +231,7 @@
 
     def _apply(self, view: ResolvedSettings) -> None:
         self._view = view
-        self.role.apply(view)
+        self.role.apply_settings(view)
         self.role.timeline.add("settings_applied", detail=f"version={view.version}")
 
     def _peer_addresses(self) -> list[str]:
--- a/src/beryljunction/node/roles.py
+++ b/src/beryljunction/node/roles.py
@@ -15,13 +15,13 @@
 from beryljunction.stores import HostRow, LogClient
 from beryljunction.timeline import Timeline
 
-__all__ = ["LEAVING", "NodeRole", "RoleTools"]
+__all__ = ["LEAVING", "ProcessRole", "RoleContext"]
 
 LEAVING = "leaving"
 
 
 @attrs.frozen
-class RoleTools:
+class RoleContext:
     """Clients and callbacks that the process provides to its role.
 
     Attributes:
@@ -29,7 +29,7 @@
         fleet: Pool for control calls to other processes.
         peers: Pool for exchanging load, counted separately in the metrics.
         settings_version: Returns the version of the current settings.
-        on_newer: Called with the endpoint id of a peer that has newer settings, and their version.
+        on_newer_settings: Called with the endpoint id of a peer that has newer settings, and their version.
         log: Client of the platform's log; None if no log is configured.
     """
 
@@ -37,24 +37,24 @@
     fleet: httpcore.AsyncConnectionPool
     peers: httpcore.AsyncConnectionPool
     settings_version: Callable[[], int]
-    on_newer: Callable[[str, int], None]
+    on_newer_settings: Callable[[str, int], None]
     log: LogClient | None = None
 
 
-class NodeRole(abc.ABC):
+class ProcessRole(abc.ABC):
     """The part of a process that differs between entry and sidecar.
 
     Attributes:
-        is_mutual: Whether the request listener requires client certificates (mutual TLS).
-        part: The component that a graceful stop waits for.
+        requires_client_certificate: Whether the request listener requires client certificates (mutual TLS).
+        stoppable: The component that a graceful stop waits for.
         routes: Handlers of the control paths that other fleet processes call.
     """
 
     name: str
-    is_mutual: bool
+    requires_client_certificate: bool
     process: ProcessSettings
     app: Asgi
-    part: Stoppable
+    stoppable: Stoppable
     timeline: Timeline
     routes: Mapping[str, Asgi]
 
@@ -63,11 +63,11 @@
         """Run the role's background tasks until cancelled."""
 
     @abc.abstractmethod
-    def apply(self, view: ResolvedSettings) -> None:
+    def apply_settings(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
 
     @abc.abstractmethod
-    def take_hosts(self, rows: list[HostRow]) -> None:
+    def update_hosts(self, rows: list[HostRow]) -> None:
         """Update the role with all rows of the current host list."""
 
     @abc.abstractmethod
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -14,7 +14,7 @@
     RequestGate,
     handle_row_exchange,
 )
-from beryljunction.node.roles import LEAVING, NodeRole, RoleTools
+from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
 from beryljunction.operators import NodeStatus
 from beryljunction.servers import Receive, Scope, Send, client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
@@ -46,13 +46,13 @@
         return len(self._sidecar.admission.requests)
 
 
-class SidecarRole(NodeRole):
+class SidecarRole(ProcessRole):
     """A sidecar: runs requests at its endpoint."""
 
     name = "sidecar"
-    is_mutual = True
+    requires_client_certificate = True
 
-    def __init__(self, file: SidecarFile, view: ResolvedSettings, tools: RoleTools) -> None:
+    def __init__(self, file: SidecarFile, view: ResolvedSettings, context: RoleContext) -> None:
         self.process = file.process
         self.file = file
         self._service = ServiceSettings()
@@ -60,33 +60,35 @@
         self._region_addresses: dict[str, str] = {}
         self._drained = False
         self._listed_leaving = False
-        self.sidecar = SidecarApp(file, self._with_service(view), tls=tools.tls, fleet=tools.fleet)
-        self.app = self.part = self.sidecar
+        self.sidecar = SidecarApp(
+            file, self._with_service(view), tls=context.tls, fleet=context.fleet
+        )
+        self.app = self.stoppable = self.sidecar
         self.timeline = self.sidecar.timeline
-        self.exchange = LoadExchange(
+        self.peer_exchange = LoadExchange(
             self.sidecar.admission.load,
-            tools.peers,
+            context.peers,
             file.process.fleet_key,
-            tools.settings_version,
-            tools.on_newer,
+            context.settings_version,
+            context.on_newer_settings,
         )
         self._engine_pool = client_pool()
-        self.orders = self._create_reconcile_loop(tools)
-        self.routes = {PEERS_PATH: self.exchange, ORDERS_PATH: self._answer_orders}
+        self.order_runner = self._create_reconcile_loop(context)
+        self.routes = {PEERS_PATH: self.peer_exchange, ORDERS_PATH: self._answer_orders}
 
     async def run(self, *, task_status: Any) -> None:
         """Run the sidecar, exchange load with peers, and have the engine follow the settings."""
         async with self._engine_pool, anyio.create_task_group() as group:
             await group.start(self.sidecar.run)
-            await group.start(self.exchange.run)
+            await group.start(self.peer_exchange.run)
             group.start_soon(self._run_orders)
             task_status.started()
 
-    def apply(self, view: ResolvedSettings) -> None:
+    def apply_settings(self, view: ResolvedSettings) -> None:
         """Apply new settings."""
         self.sidecar.apply_settings(self._with_service(view))
 
-    def take_hosts(self, rows: list[HostRow]) -> None:
+    def update_hosts(self, rows: list[HostRow]) -> None:
         """Update the peers, and drain for as long as the list marks this host as leaving.
 
         A lagging list may still show the previous host of this endpoint id. That row has another
@@ -102,7 +104,7 @@
         region = {row.endpoint_id for row in rows if row.region == self.process.region}
         own = self._peer_addresses.items()
         self._region_addresses = {key: address for key, address in own if key in region}
-        self.exchange.set_peers(self._peer_addresses)
+        self.peer_exchange.set_peers(self._peer_addresses)
         _sync_table(self.sidecar.members, rows)
         for row in rows:
             if row.endpoint_id == self.file.endpoint_id and row.host == self.process.host:
@@ -124,7 +126,7 @@
             incarnation=own.incarnation,
             running=own.running,
             waiting=own.waiting,
-            orders=self.orders.reason,
+            orders=self.order_runner.reason,
             not_ready=status.not_ready or self._not_ready(),
         )
 
@@ -136,17 +138,17 @@
         """Drain while an operator or the host list requests it; neither cancels the other."""
         leaving = self._drained or self._listed_leaving
         self.sidecar.admission.leaving = leaving
-        self.orders.leaving = leaving
+        self.order_runner.leaving = leaving
 
-    def _create_reconcile_loop(self, tools: RoleTools) -> ReconcileLoop:
+    def _create_reconcile_loop(self, context: RoleContext) -> ReconcileLoop:
         file = self.file
-        turns = LoadTurnLog(tools.log, file.process.region, file.service) if tools.log else None
+        turns = LoadTurnLog(context.log, file.process.region, file.service) if context.log else None
         return ReconcileLoop(
             file.endpoint_id,
             file.service,
             lambda: self.sidecar.view,
             HttpEngineControl(file.endpoint_address, self._engine_pool),
-            HttpRolloutPeers(lambda: self._region_addresses, tools.fleet, file.process.fleet_key),
+            HttpRolloutPeers(lambda: self._region_addresses, context.fleet, file.process.fleet_key),
             _AdmissionGate(self.sidecar),
             turns=turns,
         )
@@ -156,10 +158,12 @@
         while self.sidecar.view.version == 0:
             await anyio.sleep(_SETTINGS_POLL_S)
         if self._service.kind == _ENGINE:
-            await self.orders.run()
+            await self.order_runner.run()
 
     async def _answer_orders(self, scope: Scope, receive: Receive, send: Send) -> None:
-        await handle_row_exchange(self.orders.receive_row, self.orders.own_row, receive, send)
+        await handle_row_exchange(
+            self.order_runner.receive_row, self.order_runner.own_row, receive, send
+        )
 
     def _with_service(self, view: ResolvedSettings) -> ResolvedSettings:
         """Return a view that contains the endpoint's service, if need be with its last settings.
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -19,7 +19,7 @@
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import PlatformUnavailableError
 from beryljunction.local import DEMO_KEY, FleetPlan, StandInsFile, demo_view, write_files
-from beryljunction.node import EntryRole, HostFollower, HostView, RoleTools, SidecarRole
+from beryljunction.node import EntryRole, HostFollower, HostView, RoleContext, SidecarRole
 from beryljunction.servers import client_pool
 from beryljunction.settings import (
     EntryFile,
@@ -295,25 +295,25 @@
 class TestEntryRole:
     def entry(self):
         process = ProcessSettings("e", "gj-west", "ahd-a", "", "", "key", "", "")
-        tools = RoleTools(None, None, None, lambda: 0, lambda name, version: None)
-        return EntryRole(EntryFile(process), ResolvedSettings(), tools)
+        context = RoleContext(None, None, None, lambda: 0, lambda name, version: None)
+        return EntryRole(EntryFile(process), ResolvedSettings(), context)
 
     def test_leaving_endpoint_is_live_again_when_its_host_was_replaced(self):
         role = self.entry()
-        role.take_hosts([attrs.evolve(ROW, incarnation="1", state="leaving")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="1", state="leaving")])
         leaving = role.endpoints.get("drafter-0").state
 
-        role.take_hosts([attrs.evolve(ROW, incarnation="2")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="2")])
 
         assert leaving is EndpointState.LEAVING
         assert role.endpoints.get("drafter-0").state is EndpointState.LIVE
 
     def test_list_does_not_overwrite_the_incarnation_reported_by_the_sidecar(self):
         role = self.entry()
-        role.take_hosts([attrs.evolve(ROW, incarnation="platform-7")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="platform-7")])
         role.endpoints.get("drafter-0").incarnation = "sidecar-1"
 
-        role.take_hosts([attrs.evolve(ROW, incarnation="platform-7", address="127.0.0.1:2")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="platform-7", address="127.0.0.1:2")])
 
         assert role.endpoints.get("drafter-0").incarnation == "sidecar-1"
 
@@ -323,15 +323,15 @@
         process = ProcessSettings("host-a", "gj-west", "ahd-a", "", "", "key", "", "")
         file = SidecarFile(process, "drafter-0", "drafter", "http://127.0.0.1:1")
         pool = client_pool()
-        tools = RoleTools(None, pool, pool, lambda: 0, lambda name, version: None)
-        return SidecarRole(file, ResolvedSettings(), tools)
+        context = RoleContext(None, pool, pool, lambda: 0, lambda name, version: None)
+        return SidecarRole(file, ResolvedSettings(), context)
 
     def test_drains_while_the_list_marks_it_as_leaving(self):
         role = self.sidecar()
 
-        role.take_hosts([attrs.evolve(ROW, incarnation="platform-7", state="leaving")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="platform-7", state="leaving")])
         leaving = role.sidecar.admission.leaving
-        role.take_hosts([attrs.evolve(ROW, incarnation="platform-7")])
+        role.update_hosts([attrs.evolve(ROW, incarnation="platform-7")])
 
         assert leaving
         assert not role.sidecar.admission.leaving
@@ -340,13 +340,13 @@
         role = self.sidecar()
 
         role.drain(leaving=True)
-        role.take_hosts([ROW])
+        role.update_hosts([ROW])
 
         assert role.sidecar.admission.leaving
 
     def test_row_of_the_previous_host_is_ignored(self):
         role = self.sidecar()
 
-        role.take_hosts([attrs.evolve(ROW, host="host-before", state="leaving")])
+        role.update_hosts([attrs.evolve(ROW, host="host-before", state="leaving")])
 
         assert not role.sidecar.admission.leaving
