--- a/src/beryljunction/bench/relay_parts.py
+++ b/src/beryljunction/bench/relay_parts.py
@@ -11,7 +11,7 @@
 import anyio
 import httpcore
 
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.servers import (
     Asgi,
     Receive,
@@ -104,19 +104,19 @@
     return ProcessSettings(host, "prairies", _ZONE, _FREE_PORT, _FREE_PORT, "bench-key", "", "")
 
 
-def _sidecar(target: str) -> Node:
+def _sidecar(target: str) -> FleetProcess:
     file = SidecarFile(_process("sidecar"), _ENDPOINT_ID, MODEL, f"http://{target}")
-    return Node.sidecar(file, _view())
+    return FleetProcess.sidecar(file, _view())
 
 
-def _entry(target: str) -> Node:
-    node = Node.entry(EntryFile(_process("entry")), _view())
+def _entry(target: str) -> FleetProcess:
+    node = FleetProcess.entry(EntryFile(_process("entry")), _view())
     node.role.update_hosts([HostRow("sidecar", _ENDPOINT_ID, MODEL, _ZONE, "prairies", target)])
     return node
 
 
 _APPS: dict[str, Callable[[str], Asgi]] = {"source": lambda _: _PacedSource(), "bare": _BareRelay}
-_NODES: dict[str, Callable[[str], Node]] = {"sidecar": _sidecar, "entry": _entry}
+_NODES: dict[str, Callable[[str], FleetProcess]] = {"sidecar": _sidecar, "entry": _entry}
 
 
 async def _run(role: str, target: str) -> None:
@@ -124,7 +124,7 @@
         if role in _NODES:
             node = _NODES[role](target)
             await group.start(node.run)
-            print(node.requests.address, flush=True)
+            print(node.request_server.address, flush=True)
             return
         server = Server(_APPS[role](target), bind(_FREE_PORT))
         await group.start(server.run_until_stopped)
--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -9,7 +9,7 @@
 
 from beryljunction.errors import BerylError
 from beryljunction.logs import configure_logs
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.settings import EntryFile, ResolvedSettings, SidecarFile, load_file
 
 __all__ = ["run_daemon", "run_file", "serve"]
@@ -31,7 +31,7 @@
 
 
 def serve(
-    settings: pathlib.Path, kind: type[F], make: Callable[[F, ResolvedSettings], Node]
+    settings: pathlib.Path, kind: type[F], make: Callable[[F, ResolvedSettings], FleetProcess]
 ) -> int:
     """Run a process until it gets a signal and return its exit code.
 
--- a/src/beryljunction/cli/entry.py
+++ b/src/beryljunction/cli/entry.py
@@ -3,7 +3,7 @@
 import pathlib
 
 from beryljunction.cli.daemons import run_daemon, serve
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.settings import EntryFile
 
 __all__ = ["main"]
@@ -17,7 +17,7 @@
 
     :param settings: TOML process file with a [process] table.
     """
-    return serve(settings, EntryFile, Node.entry)
+    return serve(settings, EntryFile, FleetProcess.entry)
 
 
 def main() -> None:
--- a/src/beryljunction/cli/sidecar.py
+++ b/src/beryljunction/cli/sidecar.py
@@ -3,7 +3,7 @@
 import pathlib
 
 from beryljunction.cli.daemons import run_daemon, serve
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.settings import SidecarFile
 
 __all__ = ["main"]
@@ -17,7 +17,7 @@
 
     :param settings: TOML process file with a [process] table, endpoint_id and endpoint_address.
     """
-    return serve(settings, SidecarFile, Node.sidecar)
+    return serve(settings, SidecarFile, FleetProcess.sidecar)
 
 
 def main() -> None:
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -16,7 +16,7 @@
     publish_leaves,
 )
 from beryljunction.local.standins import start_endpoint
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.servers import Asgi, Server, bind
 from beryljunction.settings import (
     EntryFile,
@@ -51,7 +51,7 @@
     row: HostRow
     app: EngineStandIn | PlainStandIn
     server: Server
-    node: Node
+    node: FleetProcess
 
 
 class LocalFleet:
@@ -70,7 +70,7 @@
         self.hosts = HostListStandIn()
         self.endpoints: dict[str, LocalEndpoint] = {}
         self.entries: list[str] = []
-        self.nodes: list[Node] = []
+        self.nodes: list[FleetProcess] = []
         self.plain_services: list[PlainStandIn] = []
         self.log = LogModel()
         self._platform_servers: dict[str, Server] = {}
@@ -86,7 +86,7 @@
             self.plain_services.append(app)
         process = await self._process_settings(f"host-{endpoint_id}", len(self.endpoints))
         file = SidecarFile(process, endpoint_id, service, f"http://{server.address}")
-        node = Node.sidecar(file, ResolvedSettings())
+        node = FleetProcess.sidecar(file, ResolvedSettings())
         row = await self._start(node, endpoint_id, service)
         local = self.endpoints[endpoint_id] = LocalEndpoint(row, app, server, node)
         return local
@@ -105,7 +105,7 @@
         """Start an entry and return its base URL."""
         number = len(self.entries)
         process = await self._process_settings(f"entry-{number}", number)
-        node = Node.entry(EntryFile(process), ResolvedSettings())
+        node = FleetProcess.entry(EntryFile(process), ResolvedSettings())
         row = await self._start(node)
         scheme = "http" if self._tls is None else "https"
         self.entries.append(f"{scheme}://{row.address}")
@@ -137,16 +137,18 @@
                 raise InvariantError("expected every process to be ready within 10 s")
             await anyio.sleep(0.02)
 
-    def _is_ready(self, node: Node) -> bool:
+    def _is_ready(self, node: FleetProcess) -> bool:
         status = node.status()
         return not status.not_ready and status.hosts_version >= self.hosts.model.version
 
-    async def _run(self, node: Node, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
+    async def _run(
+        self, node: FleetProcess, *, task_status: Any = anyio.TASK_STATUS_IGNORED
+    ) -> None:
         with anyio.CancelScope() as scope:
             self._scopes.append(scope)
             await node.run(task_status=task_status)
 
-    async def _start(self, node: Node, endpoint_id: str = "", service: str = "") -> HostRow:
+    async def _start(self, node: FleetProcess, endpoint_id: str = "", service: str = "") -> HostRow:
         await self._group.start(self._run, node)
         self.nodes.append(node)
         process = node.role.process
@@ -156,10 +158,10 @@
             service=service,
             availability_zone=process.availability_zone,
             region=process.region,
-            address=node.requests.address,
+            address=node.request_server.address,
             incarnation=node.status().incarnation,
             state=_LIVE,
-            operator_address=node.operator.address,
+            operator_address=node.operator_server.address,
         )
         self.hosts.put(row)
         await self._wait_until(lambda: node.status().settings_version > 0)
--- a/src/beryljunction/local/serving.py
+++ b/src/beryljunction/local/serving.py
@@ -28,7 +28,7 @@
                 await fleet.add_endpoint(f"{service}-{number}", service)
         entries = [await fleet.add_entry() for _ in range(2)]
         await fleet.settle()
-        operator = f"http://{fleet.nodes[-1].operator.address}"
+        operator = f"http://{fleet.nodes[-1].operator_server.address}"
         hosts = await fleet.hosts_url()
         text = _EXAMPLES.format(entry=entries[0], key=DEMO_KEY, operator=operator, hosts=hosts)
         print(text, flush=True)
--- a/src/beryljunction/node/__init__.py
+++ b/src/beryljunction/node/__init__.py
@@ -2,8 +2,8 @@
 
 from beryljunction.node.client import Answers, OperatorClient
 from beryljunction.node.entry_role import EntryRole
-from beryljunction.node.hosts import HostFollower, HostView
-from beryljunction.node.process import Node
+from beryljunction.node.hosts import HostListCache, HostListWatcher
+from beryljunction.node.process import FleetProcess
 from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.operators import NodeStatus
@@ -11,9 +11,9 @@
 __all__ = [
     "Answers",
     "EntryRole",
-    "HostFollower",
-    "HostView",
-    "Node",
+    "HostListWatcher",
+    "HostListCache",
+    "FleetProcess",
     "ProcessRole",
     "NodeStatus",
     "OperatorClient",
--- a/src/beryljunction/node/hosts.py
+++ b/src/beryljunction/node/hosts.py
@@ -10,7 +10,7 @@
 from beryljunction.stores import HostChanges, HostList, HostRow
 from beryljunction.timeline import Timeline
 
-__all__ = ["HostFollower", "HostView"]
+__all__ = ["HostListWatcher", "HostListCache"]
 
 # Long polls: an unchanged list costs each process one small exchange per interval.
 _POLL_WAIT_S = 20.0
@@ -20,7 +20,7 @@
 _MAX_BACKOFF_S = 5.0
 
 
-class HostView:
+class HostListCache:
     """Local copy of the host list, built from its changes."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         return True
 
 
-class HostFollower:
+class HostListWatcher:
     """Polls the host list for changes.
 
     Args:
@@ -56,7 +56,7 @@
     def __init__(
         self, hosts: HostList, on_change: Callable[[list[HostRow]], None], timeline: Timeline
     ) -> None:
-        self.view = HostView()
+        self.view = HostListCache()
         self.is_current = False
         self._hosts = hosts
         self._on_change = on_change
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -16,7 +16,7 @@
 from beryljunction.metrics import MeteredApp, Metrics
 from beryljunction.node.entry_role import EntryRole
 from beryljunction.node.front import FleetFront
-from beryljunction.node.hosts import HostFollower
+from beryljunction.node.hosts import HostListWatcher
 from beryljunction.node.operator import OperatorKeys, operator_app, operator_keys
 from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
@@ -41,17 +41,17 @@
 from beryljunction.stores import HttpHostList, HttpLogClient
 from beryljunction.tls import TlsContexts
 
-__all__ = ["Node"]
+__all__ = ["FleetProcess"]
 
 _PLATFORM_POOLS = ("hosts", "log")
 _FLEET_POOLS = ("fleet", "peers")
 
 
-class Node:
+class FleetProcess:
     """An entry or sidecar process with its listeners, clients, metrics and settings.
 
     Args:
-        kind: Class of the role; its class attributes are needed before the role exists.
+        role_class: Class of the role; its class attributes are needed before the role exists.
         make_role: Creates the role from the shared clients and callbacks.
         view: Settings to use until those on the log have been read.
     """
@@ -59,17 +59,17 @@
     def __init__(
         self,
         process: ProcessSettings,
-        kind: type[ProcessRole],
+        role_class: type[ProcessRole],
         make_role: Callable[[RoleContext], ProcessRole],
         view: ResolvedSettings,
     ) -> None:
         self._tls = (
-            TlsContexts(process.tls, kind.requires_client_certificate)
+            TlsContexts(process.tls, role_class.requires_client_certificate)
             if process.tls is not None
             else None
         )
-        self.metrics = Metrics(kind.name)
-        self.settings = SettingsState(process.region)
+        self.metrics = Metrics(role_class.name)
+        self.settings_reader = SettingsState(process.region)
         self.ended = anyio.Event()
         self._view = view
         self._leaving = False
@@ -80,14 +80,14 @@
         role.timeline.listen(EventLog(process.log_sample_ratio))
         role.timeline.listen(self.metrics.count_event)
         hosts = HttpHostList(self._pools["hosts"], process.hosts_address)
-        self.hosts = HostFollower(hosts, role.update_hosts, role.timeline)
+        self.host_list_watcher = HostListWatcher(hosts, role.update_hosts, role.timeline)
         self._follower = self._settings_follower(process)
         server_tls = self._tls.server if self._tls is not None else None
-        self.requests = Server(self._request_app(process), bind(process.listen), server_tls)
+        self.request_server = Server(self._request_app(process), bind(process.listen), server_tls)
         operator = operator_app(role.timeline, self.metrics, self.status, self.drain)
         guarded = OperatorKeys(operator, operator_keys(process))
         operator_tls = self._tls.operator if self._tls is not None else None
-        self.operator = Server(guarded, bind(process.operator_listen), operator_tls)
+        self.operator_server = Server(guarded, bind(process.operator_listen), operator_tls)
         self._add_gauges()
 
     @classmethod
@@ -110,7 +110,7 @@
             process.host,
             process.availability_zone,
             settings_version=self._view.version,
-            hosts_version=self.hosts.view.version,
+            hosts_version=self.host_list_watcher.view.version,
             not_ready=self._not_ready(),
             in_flight=self.role.stoppable.in_flight,
         )
@@ -133,7 +133,7 @@
         """Run until stopped; the operator listener stays up to the end to observe the stop."""
         try:
             async with anyio.create_task_group() as background:
-                await background.start(self.operator.run_until_stopped)
+                await background.start(self.operator_server.run_until_stopped)
                 await background.start(self._hold_pools_open)
                 await background.start(self.role.run)
                 self._start_followers(background)
@@ -152,7 +152,7 @@
     def _start_followers(self, background: anyio.abc.TaskGroup) -> None:
         process = self.role.process
         if process.hosts_address:
-            background.start_soon(self.hosts.run)
+            background.start_soon(self.host_list_watcher.run)
         if process.log_address:
             background.start_soon(self._follower.run)
         if self._tls is not None:
@@ -160,8 +160,8 @@
 
     async def _serve(self, task_status: Any) -> None:
         async with anyio.create_task_group() as serving:
-            await serving.start(self.requests.run_until_stopped)
-            self.role.timeline.add("serving", detail=self.requests.address)
+            await serving.start(self.request_server.run_until_stopped)
+            self.role.timeline.add("serving", detail=self.request_server.address)
             task_status.started()
             await self._stopping.wait()
             await self._drain_and_close()
@@ -175,7 +175,7 @@
         a refused caller would see an error for a planned stop.
         """
         await anyio.sleep(SETTLE_S)
-        stop = GracefulStop(self.role.stoppable, [self.requests], settle_s=0.0)
+        stop = GracefulStop(self.role.stoppable, [self.request_server], settle_s=0.0)
         stop.request()
         await stop.run()
 
@@ -207,27 +207,27 @@
             tls=self._client_tls,
             fleet=self._pools["fleet"],
             peers=self._pools["peers"],
-            settings_version=lambda: self.settings.version,
+            settings_version=lambda: self.settings_reader.version,
             on_newer_settings=self._note_newer_settings,
             log=self._log if process.log_address else None,
         )
 
     def _note_newer_settings(self, endpoint_id: str, version: int) -> None:
         """Remember a peer with newer settings; it is asked next while the log is down."""
-        row = self.hosts.view.rows.get(endpoint_id)
+        row = self.host_list_watcher.view.rows.get(endpoint_id)
         if row is not None:
             self._peers.prefer_peer(row.address)
 
     def _settings_follower(self, process: ProcessSettings) -> SettingsFollower:
         self._peers = HttpPeers(
             self._peer_addresses,
-            self.settings,
+            self.settings_reader,
             self._pools["fleet"],
             process.fleet_key,
             self._own_address,
         )
         pace = FollowerSettings(retention_s=process.log_retention_s)
-        return SettingsFollower(self.settings, self._log, self._apply, self._peers, pace)
+        return SettingsFollower(self.settings_reader, self._log, self._apply, self._peers, pace)
 
     def _apply(self, view: ResolvedSettings) -> None:
         self._view = view
@@ -236,17 +236,19 @@
 
     def _peer_addresses(self) -> list[str]:
         """Return the addresses of the sidecars on the host list."""
-        return [row.address for row in self.hosts.view.rows.values() if row.endpoint_id]
+        return [row.address for row in self.host_list_watcher.view.rows.values() if row.endpoint_id]
 
     def _own_address(self) -> str:
         """Return this sidecar's address on the host list; empty for an entry, which has none."""
         own = self.role.process.host
-        rows = self.hosts.view.rows.values()
+        rows = self.host_list_watcher.view.rows.values()
         return next((row.address for row in rows if row.endpoint_id and row.host == own), "")
 
     def _request_app(self, process: ProcessSettings) -> Asgi:
         async def show_settings(scope: Scope, receive: Receive, send: Send) -> None:
-            await serve_settings(self.settings, self._follower.apply_snapshot, scope, receive, send)
+            await serve_settings(
+                self.settings_reader, self._follower.apply_snapshot, scope, receive, send
+            )
 
         routes = {SETTINGS_PATH: show_settings, **self.role.routes}
         metered = MeteredApp(self.role.app, self.metrics)
@@ -265,7 +267,7 @@
     def _not_ready(self) -> str:
         if self._leaving:
             return "leaving"
-        if self.role.process.hosts_address and not self.hosts.view.rows:
+        if self.role.process.hosts_address and not self.host_list_watcher.view.rows:
             return "no host list yet"
         if not self._view.services:
             return "no settings yet"
@@ -284,9 +286,9 @@
             self.metrics.watch(name, documentation, _status_reader(self, field))
         for alarm in attrs.fields(Alarms):
             documentation = f"Alarm of the settings: {alarm.name.replace('_', ' ')}."
-            read = functools.partial(getattr, self.settings.alarms, alarm.name)
+            read = functools.partial(getattr, self.settings_reader.alarms, alarm.name)
             self.metrics.watch(f"beryl_settings_{alarm.name}", documentation, read)
 
 
-def _status_reader(node: Node, field: str) -> Callable[[], float]:
+def _status_reader(node: FleetProcess, field: str) -> Callable[[], float]:
     return lambda: float(getattr(node.status(), field))
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -19,7 +19,7 @@
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import PlatformUnavailableError
 from beryljunction.local import DEMO_KEY, FleetPlan, StandInsFile, demo_view, write_files
-from beryljunction.node import EntryRole, HostFollower, HostView, RoleContext, SidecarRole
+from beryljunction.node import EntryRole, HostListCache, HostListWatcher, RoleContext, SidecarRole
 from beryljunction.servers import client_pool
 from beryljunction.settings import (
     EntryFile,
@@ -254,14 +254,14 @@
         If its empty full list were applied, all callers would be refused although every endpoint
         works. The view keeps its rows until rows are listed again.
         """
-        view = HostView()
+        view = HostListCache()
         view.apply(HostChanges(5, (ROW,)))
 
         assert not view.apply(HostChanges(0, full=True))
         assert view.rows == {"drafter-0": ROW}
 
     def test_changes_replace_and_remove_rows(self):
-        view = HostView()
+        view = HostListCache()
         view.apply(HostChanges(1, (ROW, attrs.evolve(ROW, endpoint_id="drafter-1"))))
         moved = attrs.evolve(ROW, incarnation="2")
 
@@ -277,7 +277,7 @@
             hosts = ScriptedHosts(HostChanges(4, (ROW,)), outage, outage)
             seen = []
             timeline = Timeline("host-a", "ahd-a")
-            follower = HostFollower(hosts, seen.append, timeline)
+            follower = HostListWatcher(hosts, seen.append, timeline)
             async with anyio.create_task_group() as group:
                 await group.start(follower.run)
                 while len(hosts.asked) < 4:
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -13,7 +13,7 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import StartError
-from beryljunction.node import Node
+from beryljunction.node import FleetProcess
 from beryljunction.servers import Server, bind, client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, TlsSettings
 from beryljunction.standins import HostListStandIn
@@ -38,7 +38,7 @@
 
 @contextlib.asynccontextmanager
 async def node_of(process):
-    node = Node.entry(EntryFile(process), ResolvedSettings())
+    node = FleetProcess.entry(EntryFile(process), ResolvedSettings())
     async with anyio.create_task_group() as group:
         await group.start(node.run)
         yield node
@@ -50,7 +50,7 @@
     found = []
     async with node_of(process) as node, client_pool(tls) as pool:
         for method, path, key in requests:
-            url = f"http://{node.operator.address}{path}"
+            url = f"http://{node.operator_server.address}{path}"
             headers = [("authorization", key)] if key else []
             answer = await pool.request(method, url, headers=headers, content=b"{}")
             found.append(answer.status)
@@ -102,7 +102,7 @@
     )
     def test_insecure_settings_are_rejected_at_startup(self, changes, problem):
         with pytest.raises(StartError, match=problem):
-            Node.entry(EntryFile(attrs.evolve(PROCESS, **changes)), ResolvedSettings())
+            FleetProcess.entry(EntryFile(attrs.evolve(PROCESS, **changes)), ResolvedSettings())
 
 
 class TestOperatorTls:
@@ -123,7 +123,7 @@
     """Start a process and a host list that contains it; yield the URL of the list."""
     async with node_of(process) as node, anyio.create_task_group() as group:
         hosts = HostListStandIn()
-        address = node.operator.address
+        address = node.operator_server.address
         hosts.put(HostRow("host-a", "", "", "ahd-a", "gj-west", "", operator_address=address))
         server = Server(hosts, bind(LOOPBACK))
         await group.start(server.run_until_stopped)
