--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -8,7 +8,7 @@
 
 from beryljunction.bench.settings_cost import measure_settings_cost
 from beryljunction.loads import LoadRow
-from beryljunction.node.front import FleetFront
+from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Asgi, Receive, Scope, Send, Server, bind, client_pool, respond
 from beryljunction.settings import (
@@ -150,8 +150,8 @@
         return counted.total_bytes / _REPEATS
 
 
-def _front(path: str, app: Asgi) -> FleetFront:
-    return FleetFront(_nothing_else, _KEY, {path: app}, lambda: None, lambda *_: None)
+def _front(path: str, app: Asgi) -> ControlMiddleware:
+    return ControlMiddleware(_nothing_else, _KEY, {path: app}, lambda: None, lambda *_: None)
 
 
 async def _nothing_else(scope: Scope, receive: Receive, send: Send) -> None:
--- a/src/beryljunction/cli/asking.py
+++ b/src/beryljunction/cli/asking.py
@@ -77,14 +77,14 @@
     except OSError as error:
         problem = f"authority_path: expected a readable PEM file, got {error}"
         raise SettingsError([problem]) from error
-    async with client_pool() as pool, client_pool(tls) as nodes:
-        yield OperatorClient(pool, file.hosts_address, nodes, file.operator_key)
+    async with client_pool() as pool, client_pool(tls) as process_pool:
+        yield OperatorClient(pool, file.hosts_address, process_pool, file.operator_key)
 
 
 async def rows_of(client: OperatorClient, at: str) -> list[HostRow]:
     """Return rows for these comma-separated addresses, or the whole host list if there are none."""
     if not at:
-        return await client.rows()
+        return await client.list_hosts()
     addresses = [text.strip() for text in at.split(",")]
     return [HostRow(text, "", "", "", "", text, operator_address=text) for text in addresses]
 
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -36,7 +36,7 @@
     """
 
     async def run(client: OperatorClient) -> int:
-        rows = [row for row in await client.rows() if endpoint in (row.endpoint_id, row.host)]
+        rows = [row for row in await client.list_hosts() if endpoint in (row.endpoint_id, row.host)]
         if not rows:
             print(f"{endpoint}: expected an endpoint id or host on the host list", file=sys.stderr)
             return EXIT_INVALID
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -39,7 +39,7 @@
         if self.fleet is None:
             return versions
         try:
-            rows = await self.fleet.rows()
+            rows = await self.fleet.list_hosts()
         except PlatformUnavailableError:
             return versions
         # A node that is both in the file and on the host list counts once.
--- a/src/beryljunction/node/__init__.py
+++ b/src/beryljunction/node/__init__.py
@@ -1,6 +1,6 @@
 """Parts common to all fleet processes: listeners, host list, settings, metrics, shutdown."""
 
-from beryljunction.node.client import Answers, OperatorClient
+from beryljunction.node.client import HostResponses, OperatorClient
 from beryljunction.node.entry_role import EntryRole
 from beryljunction.node.hosts import HostListCache, HostListWatcher
 from beryljunction.node.process import FleetProcess
@@ -9,7 +9,7 @@
 from beryljunction.operators import NodeStatus
 
 __all__ = [
-    "Answers",
+    "HostResponses",
     "EntryRole",
     "HostListWatcher",
     "HostListCache",
--- a/src/beryljunction/node/client.py
+++ b/src/beryljunction/node/client.py
@@ -14,7 +14,7 @@
 from beryljunction.timeline import HLC_HEADER, Event, HybridClock
 from beryljunction.wire import DRAIN_PATH, Drain, decode, encode
 
-__all__ = ["Answers", "OperatorClient"]
+__all__ = ["HostResponses", "OperatorClient"]
 
 # A fleet of the target size has 1,050 processes. With 64 concurrent requests of a few milliseconds
 # each, all answer within a second or two, and the operator's host needs few sockets.
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class Answers(Generic[T]):
+class HostResponses(Generic[T]):
     """Answers of the processes by host, and error texts of those that failed."""
 
     values: dict[str, T] = attrs.field(factory=dict)
@@ -37,7 +37,7 @@
 
     Args:
         pool: Pool for the host list, a platform service outside the fleet's TLS.
-        nodes: Pool for the processes; defaults to `pool`.
+        process_pool: Pool for the processes; defaults to `pool`.
         key: Operator key for the listeners; empty to send none.
     """
 
@@ -45,15 +45,15 @@
         self,
         pool: httpcore.AsyncConnectionPool,
         hosts_url: str,
-        nodes: httpcore.AsyncConnectionPool | None = None,
+        process_pool: httpcore.AsyncConnectionPool | None = None,
         key: str = "",
     ) -> None:
-        self._nodes = nodes if nodes is not None else pool
+        self._process_pool = process_pool if process_pool is not None else pool
         self._key_header = [(b"authorization", b"Bearer " + key.encode())] if key else []
         self._hosts = HttpHostList(pool, hosts_url)
         self._clock = HybridClock()
 
-    async def rows(self) -> list[HostRow]:
+    async def list_hosts(self) -> list[HostRow]:
         """Return the rows of the host list.
 
         Raises:
@@ -61,7 +61,7 @@
         """
         return list((await self._hosts.changes(0, 0.0)).rows)
 
-    async def status(self, rows: list[HostRow]) -> Answers[NodeStatus]:
+    async def status(self, rows: list[HostRow]) -> HostResponses[NodeStatus]:
         """Return the status of each process."""
 
         async def ask(row: HostRow) -> NodeStatus:
@@ -71,7 +71,7 @@
 
     async def events(
         self, rows: list[HostRow], request_id: str | None, last: int
-    ) -> Answers[list[Event]]:
+    ) -> HostResponses[list[Event]]:
         """Return the `last` newest events of each process, optionally of one request only."""
         query = {"last": str(last)}
         if request_id is not None:
@@ -83,7 +83,7 @@
 
         return await self._gather(rows, ask)
 
-    async def drain(self, row: HostRow, leaving: bool) -> Answers[NodeStatus]:
+    async def drain(self, row: HostRow, leaving: bool) -> HostResponses[NodeStatus]:
         """Drain a process, or end its drain if `leaving` is false."""
 
         async def ask(row: HostRow) -> NodeStatus:
@@ -94,28 +94,28 @@
 
     async def _gather(
         self, rows: list[HostRow], ask: Callable[[HostRow], Awaitable[T]]
-    ) -> Answers[T]:
-        answers: Answers[T] = Answers()
+    ) -> HostResponses[T]:
+        responses: HostResponses[T] = HostResponses()
         limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
         async def ask_one(row: HostRow) -> None:
             async with limiter:
                 try:
-                    answers.values[row.host] = await ask(row)
+                    responses.values[row.host] = await ask(row)
                 except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-                    answers.failures[row.host] = f"{row.operator_address}: {error}"
+                    responses.failures[row.host] = f"{row.operator_address}: {error}"
                 except httpcore.TimeoutException:
-                    answers.failures[row.host] = f"{row.operator_address}: no answer in time"
+                    responses.failures[row.host] = f"{row.operator_address}: no answer in time"
                 except ValueError as error:
-                    answers.failures[row.host] = f"{row.operator_address}: {error}"
+                    responses.failures[row.host] = f"{row.operator_address}: {error}"
 
         async with anyio.create_task_group() as group:
             for row in rows:
                 group.start_soon(ask_one, row)
-        return answers
+        return responses
 
     async def _request(self, row: HostRow, method: str, path: str, body: bytes = b"") -> bytes:
-        response = await self._nodes.request(
+        response = await self._process_pool.request(
             method,
             f"http://{row.operator_address}{path}",
             headers=[(HLC_HEADER, self._clock.stamp()), *self._key_header],
--- a/src/beryljunction/node/front.py
+++ b/src/beryljunction/node/front.py
@@ -7,13 +7,13 @@
 from beryljunction.servers import Asgi, Receive, Scope, Send, respond
 from beryljunction.wire import FLEET_KEY_HEADER, refusal_body
 
-__all__ = ["FleetFront"]
+__all__ = ["ControlMiddleware"]
 
 _STATUS_LINE_BYTES = len("HTTP/1.1 200 OK\r\n\r\n")
 _HEADER_OVERHEAD_BYTES = len(": \r\n")
 
 
-class FleetFront:
+class ControlMiddleware:
     """ASGI middleware that serves control paths and forwards other requests to the role.
 
     Args:
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -20,7 +20,7 @@
 from beryljunction.timeline import HLC_HEADER, Timeline
 from beryljunction.wire import DRAIN_PATH, Drain, decode, encode, refusal_body
 
-__all__ = ["OperatorKeys", "operator_app", "operator_keys"]
+__all__ = ["OperatorKeyMiddleware", "operator_app", "operator_key_digests"]
 
 _DEFAULT_EVENT_COUNT = 1_000
 _SHA256_HEX = re.compile(r"[0-9a-f]{64}")
@@ -30,7 +30,7 @@
 _PUBLIC_PATHS = frozenset(("/livez", "/readyz", "/metrics"))
 
 
-class OperatorKeys:
+class OperatorKeyMiddleware:
     """ASGI middleware that requires an operator key on all but a few public paths.
 
     Without a key, anyone who reaches the listener could drain one endpoint after another until none
@@ -58,7 +58,7 @@
         return shows_key(given, self._digests)
 
 
-def operator_keys(process: ProcessSettings) -> tuple[str, ...]:
+def operator_key_digests(process: ProcessSettings) -> tuple[str, ...]:
     """Return the validated operator key digests from a process's settings.
 
     Raises:
@@ -93,7 +93,7 @@
 ) -> Starlette:
     """Return the application of the operator listener.
 
-    It exposes request ids and can drain the process, so wrap it in :class:`OperatorKeys`.
+    It exposes request ids and can drain the process, so wrap it in :class:`OperatorKeyMiddleware`.
     """
 
     async def show_metrics(_: Request) -> Response:
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -15,9 +15,9 @@
 from beryljunction.logs import EventLog
 from beryljunction.metrics import MeteredApp, Metrics
 from beryljunction.node.entry_role import EntryRole
-from beryljunction.node.front import FleetFront
+from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.hosts import HostListWatcher
-from beryljunction.node.operator import OperatorKeys, operator_app, operator_keys
+from beryljunction.node.operator import OperatorKeyMiddleware, operator_app, operator_key_digests
 from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.node.traffic import CountingBackend
@@ -85,7 +85,7 @@
         server_tls = self._tls.server if self._tls is not None else None
         self.request_server = Server(self._request_app(process), bind(process.listen), server_tls)
         operator = operator_app(role.timeline, self.metrics, self.status, self.drain)
-        guarded = OperatorKeys(operator, operator_keys(process))
+        guarded = OperatorKeyMiddleware(operator, operator_key_digests(process))
         operator_tls = self._tls.operator if self._tls is not None else None
         self.operator_server = Server(guarded, bind(process.operator_listen), operator_tls)
         self._add_gauges()
@@ -252,7 +252,9 @@
 
         routes = {SETTINGS_PATH: show_settings, **self.role.routes}
         metered = MeteredApp(self.role.app, self.metrics)
-        return FleetFront(metered, process.fleet_key, routes, self._refusal, self._count_answer)
+        return ControlMiddleware(
+            metered, process.fleet_key, routes, self._refusal, self._count_answer
+        )
 
     def _refusal(self) -> Refusal | None:
         """Return a refusal until settings are read; without them every API key is unknown."""
--- a/testing/test_peers.py
+++ b/testing/test_peers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from beryljunction.loads import LoadRow
-from beryljunction.node.front import FleetFront
+from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Server, bind, client_pool, respond
 from beryljunction.sidecar.peers import LoadExchange
@@ -41,7 +41,7 @@
             rng=random.Random(1),
         )
         routes = {PEERS_PATH: self.exchange}
-        front = FleetFront(nothing_else, KEY, routes, lambda: None, self.count_answered)
+        front = ControlMiddleware(nothing_else, KEY, routes, lambda: None, self.count_answered)
         self.server = Server(front, bind("127.0.0.1:0"))
 
     def count_asked(self, sent, received):
