--- a/src/beryljunction/cli/explain.py
+++ b/src/beryljunction/cli/explain.py
@@ -26,11 +26,11 @@
             print(message, file=sys.stderr)
             return 2
         lines += [line for line in map(parse_line, text.splitlines()) if line is not None]
-    story = explain_request(request_id, lines)
-    if story is None:
+    explanation = explain_request(request_id, lines)
+    if explanation is None:
         message = f"{request_id}: expected a line with this request id, got none in {len(lines)}"
         print(f"{message} events; pass the logs of all entries", file=sys.stderr)
         return 1
-    print("\n".join(story.sentences))
-    print(f"cause: {story.cause}")
+    print("\n".join(explanation.steps))
+    print(f"cause: {explanation.cause}")
     return 0
--- a/src/beryljunction/explain.py
+++ b/src/beryljunction/explain.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-__all__ = ["LogLine", "Story", "explain", "parse_line"]
+__all__ = ["LogLine", "RequestExplanation", "explain", "parse_line"]
 
 _FIELD = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 # Context events are included from this long before the request. API keys are accepted on stale
@@ -62,15 +62,15 @@
 
 
 @attrs.frozen
-class Story:
+class RequestExplanation:
     """What happened to a request.
 
     Attributes:
-        sentences: One sentence for each step, in order of time.
+        steps: One sentence for each step, in order of time.
         cause: One sentence on why the request ended as it did.
     """
 
-    sentences: tuple[str, ...]
+    steps: tuple[str, ...]
     cause: str
 
 
@@ -93,21 +93,21 @@
         return value
 
 
-def explain(request_id: str, lines: Iterable[LogLine]) -> Story | None:
+def explain(request_id: str, lines: Iterable[LogLine]) -> RequestExplanation | None:
     """Return what happened to a request, or None if no line contains its id."""
     ordered = sorted(lines, key=lambda line: line.at)
     request_lines = [line for line in ordered if line.get("request_id") == request_id]
     if not request_lines:
         return None
     context = _context_of(ordered, request_lines)
-    steps = sorted([*context, *request_lines], key=lambda line: line.at)
-    sentences = tuple(_sentence(line, request_lines[0].at) for line in steps)
+    relevant_lines = sorted([*context, *request_lines], key=lambda line: line.at)
+    steps = tuple(_sentence(line, request_lines[0].at) for line in relevant_lines)
     later = [
         line
         for line in ordered
         if line.host == request_lines[-1].host and line.at > request_lines[-1].at
     ]
-    return Story(sentences, _cause(request_lines, context, later))
+    return RequestExplanation(steps, _cause(request_lines, context, later))
 
 
 def _context_of(ordered: list[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
--- a/testing/test_explain.py
+++ b/testing/test_explain.py
@@ -8,7 +8,7 @@
 from routing_fakes import known
 
 
-def story_of(request_id, lines):
+def explanation_of(request_id, lines):
     parsed = [line for line in map(parse_line, lines) if line is not None]
     return explain(request_id, parsed)
 
@@ -29,12 +29,12 @@
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
-        story = story_of("late1", lines)
+        explanation = explanation_of("late1", lines)
 
         assert status == 503
-        assert "too long ago to accept an API key" in story.cause
-        assert "has not run" in story.cause
-        assert "the host could not read the store from" in story.cause
+        assert "too long ago to accept an API key" in explanation.cause
+        assert "has not run" in explanation.cause
+        assert "the host could not read the store from" in explanation.cause
 
     def test_request_whose_endpoint_died(self):
         async def die(answer, writer, number):
@@ -48,12 +48,14 @@
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
-        story = story_of("pay7", lines)
+        explanation = explanation_of("pay7", lines)
 
         assert status == 502
-        assert "endpoint e1 received the request and returned no usable response" in story.cause
-        assert "may have run, so it was not sent again" in story.cause
-        assert any("sent to endpoint e1 of plain for acme" in text for text in story.sentences)
+        assert (
+            "endpoint e1 received the request and returned no usable response" in explanation.cause
+        )
+        assert "may have run, so it was not sent again" in explanation.cause
+        assert any("sent to endpoint e1 of plain for acme" in text for text in explanation.steps)
 
     def test_request_with_a_revoked_key(self):
         async def run():
@@ -66,11 +68,11 @@
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
-        story = story_of("old9", lines)
+        explanation = explanation_of("old9", lines)
 
         assert status == 401
-        assert "no client account has the API key in settings 6" in story.cause
-        assert any("applied settings 6" in text for text in story.sentences)
+        assert "no client account has the API key in settings 6" in explanation.cause
+        assert any("applied settings 6" in text for text in explanation.steps)
         assert not any("key=" in line for line in lines)
 
     def test_request_while_all_zones_are_evacuated(self):
@@ -84,11 +86,11 @@
                 return status, harness.lines.lines
 
         status, lines = anyio.run(run)
-        story = story_of("none1", lines)
+        explanation = explanation_of("none1", lines)
 
         assert status == 503
-        assert "zones that an operator evacuated; it has not run" in story.cause
-        assert any("sends no new requests to zone a" in text for text in story.sentences)
+        assert "zones that an operator evacuated; it has not run" in explanation.cause
+        assert any("sends no new requests to zone a" in text for text in explanation.steps)
 
     def test_request_that_terminates_endpoints(self):
         async def end(answer, writer, number):
@@ -110,14 +112,16 @@
 
         harness = None
         status, lines = anyio.run(run)
-        story = story_of("bad2", lines)
+        explanation = explanation_of("bad2", lines)
 
         assert status == 503
-        assert "several endpoints terminated while they had this request" in story.cause
-        ended = [text for text in story.sentences if "terminated while it had this request" in text]
+        assert "several endpoints terminated while they had this request" in explanation.cause
+        ended = [
+            text for text in explanation.steps if "terminated while it had this request" in text
+        ]
         assert len(ended) == 3
         assert any(
-            "quarantined this request and does not send it" in text for text in story.sentences
+            "quarantined this request and does not send it" in text for text in explanation.steps
         )
 
 
@@ -127,7 +131,7 @@
     SENT = "time=2026-01-01T00:00:01+00:00 event=sent host=h1 request_id=q1 endpoint=e1"
 
     def cause(self, *lines):
-        return story_of("q1", [self.SENT, *lines]).cause
+        return explanation_of("q1", [self.SENT, *lines]).cause
 
     def test_host_that_logs_nothing_more(self):
         other = "time=2026-01-01T00:00:09+00:00 event=started host=h2"
