--- a/src/beryljunction/cli/asking.py
+++ b/src/beryljunction/cli/asking.py
@@ -18,8 +18,8 @@
 from beryljunction.tls import client_context
 
 __all__ = [
-    "CONFIG",
-    "EXIT_DOWN",
+    "DEFAULT_OPERATOR_FILE",
+    "EXIT_HOST_LIST_DOWN",
     "EXIT_INVALID",
     "EXIT_OK",
     "EXIT_PARTIAL",
@@ -29,11 +29,11 @@
     "rows_of",
 ]
 
-CONFIG = pathlib.Path(os.environ.get("BERYL_CONFIG", "beryl.toml"))
+DEFAULT_OPERATOR_FILE = pathlib.Path(os.environ.get("BERYL_CONFIG", "beryl.toml"))
 EXIT_OK = 0
 EXIT_PARTIAL = 1
 EXIT_INVALID = 2
-EXIT_DOWN = 4
+EXIT_HOST_LIST_DOWN = 4
 
 
 def ask_fleet(
@@ -62,7 +62,7 @@
         return EXIT_INVALID
     except PlatformUnavailableError as error:
         print(f"the host list did not answer: {error}", file=sys.stderr)
-        return EXIT_DOWN
+        return EXIT_HOST_LIST_DOWN
 
 
 @contextlib.asynccontextmanager
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -5,7 +5,13 @@
 
 import anyio
 
-from beryljunction.cli.asking import CONFIG, EXIT_INVALID, EXIT_OK, ask_fleet, print_failures
+from beryljunction.cli.asking import (
+    DEFAULT_OPERATOR_FILE,
+    EXIT_INVALID,
+    EXIT_OK,
+    ask_fleet,
+    print_failures,
+)
 from beryljunction.node import OperatorClient
 from beryljunction.operators import NodeStatus
 from beryljunction.stores import HostRow
@@ -18,7 +24,7 @@
 def drain(
     endpoint: str,
     *,
-    config: pathlib.Path = CONFIG,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
     hosts: str = "",
     undo: bool = False,
     wait: bool = False,
--- a/src/beryljunction/cli/mechanisms.py
+++ b/src/beryljunction/cli/mechanisms.py
@@ -9,11 +9,11 @@
 from beryljunction.platform.deployfile import read_deploy_file
 from beryljunction.routing import Mechanism, list_switches
 
-__all__ = ["DEPLOY_FILE", "MECHANISMS", "explain_mechanisms"]
+__all__ = ["DEFAULT_DEPLOY_FILE", "MECHANISMS_PATH", "explain_mechanisms"]
 
-DEPLOY_FILE = pathlib.Path("deploy/system.toml")
+DEFAULT_DEPLOY_FILE = pathlib.Path("deploy/system.toml")
 # Path prefix of the switches in the arguments of `beryl settings explain`.
-MECHANISMS = "mechanisms"
+MECHANISMS_PATH = "mechanisms"
 
 
 def explain_mechanisms(path: str, deploy: pathlib.Path, json: bool) -> int:
@@ -24,7 +24,7 @@
         deploy: The deploy file.
         json: Print one JSON object a line.
     """
-    wanted = path.removeprefix(MECHANISMS).removeprefix(".")
+    wanted = path.removeprefix(MECHANISMS_PATH).removeprefix(".")
     try:
         roles = read_deploy_file(deploy)
     except SettingsError as error:
@@ -47,7 +47,7 @@
 def _to_line(role_name: str, row: Mechanism, deploy: pathlib.Path) -> str:
     source = "default" if row.is_on else str(deploy)
     state = "on" if row.is_on else "off"
-    return f"{MECHANISMS}.{row.name} = {state} ({role_name}, {source}): {row.guards}"
+    return f"{MECHANISMS_PATH}.{row.name} = {state} ({role_name}, {source}): {row.guards}"
 
 
 def _to_json(role_name: str, row: Mechanism) -> str:
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -10,13 +10,13 @@
 import anyio
 import tomli_w
 
-from beryljunction.cli.asking import CONFIG
-from beryljunction.cli.mechanisms import DEPLOY_FILE, MECHANISMS, explain_mechanisms
+from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE
+from beryljunction.cli.mechanisms import DEFAULT_DEPLOY_FILE, MECHANISMS_PATH, explain_mechanisms
 from beryljunction.cli.settings_change import set_, unset
-from beryljunction.cli.settings_desk import Desk, with_session
+from beryljunction.cli.settings_desk import SettingsContext, with_session
 from beryljunction.cli.settings_output import (
     EXIT_OK,
-    EXIT_REFUSED,
+    EXIT_REFUSED_OR_DIFFERENT,
     edit_row,
     judged_line,
     judged_row,
@@ -61,7 +61,9 @@
     return EXIT_OK
 
 
-def diff(tree: pathlib.Path, *, config: pathlib.Path = CONFIG, json: bool = False) -> int:
+def diff(
+    tree: pathlib.Path, *, config: pathlib.Path = DEFAULT_OPERATOR_FILE, json: bool = False
+) -> int:
     """Show how a TOML tree differs from the settings in force; exit 1 if it does.
 
     :param tree: TOML file with the tree.
@@ -69,7 +71,7 @@
     :param json: Print one JSON object.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         wanted, problems = parse_leaves(load_toml(tree))
         if problems:
             return print_problems(problems, json)
@@ -79,12 +81,12 @@
         lines = [f"{r['path']}: {value_text(r['old'])} -> {value_text(r['new'])}" for r in rows]
         data = {"version": desk.session.state.version, "edits": rows}
         say(json, data, *(lines or ["no difference"]))
-        return EXIT_REFUSED if edits else EXIT_OK
+        return EXIT_REFUSED_OR_DIFFERENT if edits else EXIT_OK
 
     return with_session(config, run, json)
 
 
-def get(*paths: str, config: pathlib.Path = CONFIG, json: bool = False) -> int:
+def get(*paths: str, config: pathlib.Path = DEFAULT_OPERATOR_FILE, json: bool = False) -> int:
     """Show the values in force at paths, set there or inherited; without paths the tree as TOML.
 
     :param paths: For example region.gj-west.service.drafter.max_running.
@@ -92,7 +94,7 @@
     :param json: Print one JSON object.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         if not paths:
             tables = tables_of(desk.session.state.tree.values())
             version = desk.session.state.version
@@ -108,8 +110,8 @@
 def explain(
     path: str,
     *,
-    config: pathlib.Path = CONFIG,
-    deploy: pathlib.Path = DEPLOY_FILE,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
+    deploy: pathlib.Path = DEFAULT_DEPLOY_FILE,
     json: bool = False,
 ) -> int:
     """Show where the value in force at a path comes from.
@@ -120,10 +122,10 @@
     :param deploy: The deploy file, which switches mechanisms on and off.
     :param json: Print one JSON object.
     """
-    if path == MECHANISMS or path.startswith(f"{MECHANISMS}."):
+    if path == MECHANISMS_PATH or path.startswith(f"{MECHANISMS_PATH}."):
         return explain_mechanisms(path, deploy, json)
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         origin = _find_origin(desk, path)
         rows = _rows_of_origin(desk, path, origin)
         lines = [f"{path} = {value_text(origin.value)}", *(origin_line(row) for row in rows)]
@@ -134,7 +136,11 @@
 
 
 def history(
-    *, id: str = "", limit: int = 20, config: pathlib.Path = CONFIG, json: bool = False
+    *,
+    id: str = "",
+    limit: int = 20,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
+    json: bool = False,
 ) -> int:
     """Show the changes that the log still keeps and the outcome of each.
 
@@ -146,7 +152,7 @@
     :param json: Print one JSON object.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         if not await desk.session.read_history():
             return print_log_down(json)
         rows = [j for j in desk.session.state.history if not id or j.change_id == id]
@@ -155,14 +161,16 @@
             version = desk.session.state.version
             text = f"not there: the log's kept records up to offset {version} do not hold it"
             say(json, {"changes": []}, text)
-            return EXIT_REFUSED if id else EXIT_OK
+            return EXIT_REFUSED_OR_DIFFERENT if id else EXIT_OK
         say(json, {"changes": [judged_row(j) for j in shown]}, *map(judged_line, shown))
         return EXIT_OK
 
     return with_session(config, run, json, look=False)
 
 
-def watch(*, for_s: float = 0.0, config: pathlib.Path = CONFIG, json: bool = False) -> int:
+def watch(
+    *, for_s: float = 0.0, config: pathlib.Path = DEFAULT_OPERATOR_FILE, json: bool = False
+) -> int:
     """Print each new change and whether it was accepted, until interrupted.
 
     :param for_s: End after this many seconds; 0 for no end.
@@ -170,7 +178,7 @@
     :param json: Print one JSON object for each change.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         state = desk.session.state
         end_s = time.monotonic() + (for_s or float("inf"))
         while time.monotonic() < end_s:
@@ -197,7 +205,7 @@
 }
 
 
-def _find_origin(desk: Desk, text: str) -> Origin:
+def _find_origin(desk: SettingsContext, text: str) -> Origin:
     """Return the value in force and where it was set.
 
     Raises:
@@ -213,12 +221,12 @@
     scope = path.scope
     if scope.operator:
         return Origin(desk.session.state.tree.value(path), scope)
-    resolver = Resolver(desk.session.state.tree, scope.region or desk.file.region)
+    resolver = Resolver(desk.session.state.tree, scope.region or desk.operator_file.region)
     origin = resolver.origin(path.field, scope.account, scope.service)
     return origin if origin is not None else Origin(rule.default, None)
 
 
-def _rows_of_origin(desk: Desk, text: str, origin: Origin) -> list[dict[str, Any]]:
+def _rows_of_origin(desk: SettingsContext, text: str, origin: Origin) -> list[dict[str, Any]]:
     field = parse_path(text).field
     rows: list[dict[str, Any]] = []
     for scope in (origin.scope, *origin.overridden):
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from beryljunction.cli.asking import CONFIG
-from beryljunction.cli.settings_desk import Desk, with_session
+from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE
+from beryljunction.cli.settings_desk import SettingsContext, with_session
 from beryljunction.cli.settings_output import EXIT_OK, print_not_in_force, print_problems, say
 from beryljunction.settings.changes import Edit
 from beryljunction.settings.files import load_toml
@@ -19,7 +19,7 @@
 
 __all__ = ["set_", "unset"]
 
-_IN_FORCE_S = 9.0
+_IN_FORCE_TIMEOUT_S = 9.0
 _POLL_INTERVAL_S = 0.25
 
 
@@ -27,7 +27,7 @@
     *assignments: str,
     file: pathlib.Path | None = None,
     note: str = "",
-    config: pathlib.Path = CONFIG,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
     json: bool = False,
 ) -> int:
     """Set values in one change, which takes effect as a whole or not at all.
@@ -39,7 +39,7 @@
     :param json: Print one JSON object.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         edits, problems = _parse_edits(assignments, file, desk.session.state.tree.values())
         if problems:
             return print_problems(problems, json)
@@ -51,7 +51,9 @@
     return with_session(config, run, json)
 
 
-def unset(*paths: str, note: str = "", config: pathlib.Path = CONFIG, json: bool = False) -> int:
+def unset(
+    *paths: str, note: str = "", config: pathlib.Path = DEFAULT_OPERATOR_FILE, json: bool = False
+) -> int:
     """Unset paths in one change, so that they inherit again; all of them or none.
 
     :param paths: Paths, or scopes such as service.drafter for all paths below them.
@@ -60,7 +62,7 @@
     :param json: Print one JSON object.
     """
 
-    async def run(desk: Desk) -> int:
+    async def run(desk: SettingsContext) -> int:
         try:
             edits = [edit for text in paths for edit in desk.session.unset_edits(text)]
         except ValueError as error:
@@ -70,7 +72,7 @@
     return with_session(config, run, json)
 
 
-async def _publish(desk: Desk, edits: tuple[Edit, ...], note: str, json: bool) -> int:
+async def _publish(desk: SettingsContext, edits: tuple[Edit, ...], note: str, json: bool) -> int:
     base = desk.session.state.version
     answer = await desk.session.publish(edits, note)
     if isinstance(answer, InvalidChange):
@@ -81,14 +83,14 @@
     return print_not_in_force(answer, base, edits, json)
 
 
-async def _print_in_force(desk: Desk, answer: InForce, json: bool) -> None:
+async def _print_in_force(desk: SettingsContext, answer: InForce, json: bool) -> None:
     """Print on how many nodes the change is in force, after waiting a few seconds for all."""
     started_s = time.monotonic()
     while True:
         versions = await desk.versions()
         reached = [n for n, v in versions.items() if v is not None and v >= answer.version]
         waited_s = time.monotonic() - started_s
-        if len(reached) == len(versions) or waited_s > _IN_FORCE_S:
+        if len(reached) == len(versions) or waited_s > _IN_FORCE_TIMEOUT_S:
             break
         await anyio.sleep(_POLL_INTERVAL_S)
     missing = sorted(versions.keys() - set(reached))
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -17,42 +17,42 @@
 from beryljunction.settings.schema import OperatorFile
 from beryljunction.stores import HttpLogClient
 
-__all__ = ["Desk", "with_session"]
+__all__ = ["SettingsContext", "with_session"]
 
 
 @attrs.frozen
-class Desk:
+class SettingsContext:
     """The operator's file and the clients that a settings command uses.
 
     Attributes:
-        fleet: Client of the processes on the host list; None if the file names no host list.
+        fleet_client: Client of the processes on the host list; None if the file names no host list.
     """
 
-    file: OperatorFile
+    operator_file: OperatorFile
     session: OperatorSession
-    nodes: HttpPeers
-    fleet: OperatorClient | None
+    node_peers: HttpPeers
+    fleet_client: OperatorClient | None
 
     async def versions(self) -> dict[str, int | None]:
         """Return the version in force at each process on the host list or named in the file."""
-        versions = await self.nodes.versions()
-        if self.fleet is None:
+        versions = await self.node_peers.versions()
+        if self.fleet_client is None:
             return versions
         try:
-            rows = await self.fleet.list_hosts()
+            rows = await self.fleet_client.list_hosts()
         except PlatformUnavailableError:
             return versions
         # A node that is both in the file and on the host list counts once.
         listed = {row.address for row in rows}
         versions = {node: version for node, version in versions.items() if node not in listed}
-        answers = await self.fleet.status(rows)
+        answers = await self.fleet_client.status(rows)
         found = {host: status.settings_version for host, status in answers.values.items()}
         return {**versions, **dict.fromkeys(answers.failures), **found}
 
 
 def with_session(
     config: pathlib.Path,
-    command: Callable[[Desk], Awaitable[int]],
+    command: Callable[[SettingsContext], Awaitable[int]],
     json: bool,
     look: bool = True,
 ) -> int:
@@ -63,11 +63,11 @@
         async with client_pool() as pool, operator_client(file) as client:
             log = HttpLogClient(file.log_address, pool)
             session = OperatorSession(log, file.operator, file.key)
-            nodes = HttpPeers(lambda: file.nodes, session.state, pool, file.fleet_key)
-            fleet = client if file.hosts_address else None
+            node_peers = HttpPeers(lambda: file.nodes, session.state, pool, file.fleet_key)
+            fleet_client = client if file.hosts_address else None
             if look and not await session.sync():
                 return print_log_down(json)
-            return await command(Desk(file, session, nodes, fleet))
+            return await command(SettingsContext(file, session, node_peers, fleet_client))
 
     try:
         return anyio.run(run)
--- a/src/beryljunction/cli/settings_output.py
+++ b/src/beryljunction/cli/settings_output.py
@@ -20,7 +20,7 @@
     "EXIT_INVALID",
     "EXIT_LOG_DOWN",
     "EXIT_OK",
-    "EXIT_REFUSED",
+    "EXIT_REFUSED_OR_DIFFERENT",
     "EXIT_UNKNOWN",
     "edit_row",
     "judged_line",
@@ -35,7 +35,7 @@
 ]
 
 EXIT_OK = 0
-EXIT_REFUSED = 1
+EXIT_REFUSED_OR_DIFFERENT = 1
 EXIT_INVALID = 2
 EXIT_UNKNOWN = 3
 EXIT_LOG_DOWN = 4
@@ -60,7 +60,7 @@
         lines.append("check what is in force now and publish again if the change is still wanted")
         data = {"outcome": "refused", "reason": answer.verdict.reason, "conflicts": rows}
         say(json, {**data, "change_id": answer.change_id}, *lines)
-        return EXIT_REFUSED
+        return EXIT_REFUSED_OR_DIFFERENT
     if isinstance(answer, NotPublished):
         text = f"not published: {answer.reason}; the log does not hold the change, try again later"
         say(json, {"outcome": "not_published", "reason": answer.reason}, text)
--- a/src/beryljunction/cli/status.py
+++ b/src/beryljunction/cli/status.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from beryljunction.cli.asking import CONFIG, ask_fleet, print_failures, rows_of
+from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE, ask_fleet, print_failures, rows_of
 from beryljunction.node import OperatorClient
 from beryljunction.operators import NodeStatus
 
@@ -30,7 +30,11 @@
 
 
 def status(
-    *, config: pathlib.Path = CONFIG, hosts: str = "", at: str = "", json: bool = False
+    *,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
+    hosts: str = "",
+    at: str = "",
+    json: bool = False,
 ) -> int:
     """Show the state, the data versions and the load of each process.
 
--- a/src/beryljunction/cli/timeline.py
+++ b/src/beryljunction/cli/timeline.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from beryljunction.cli.asking import CONFIG, ask_fleet, print_failures, rows_of
+from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE, ask_fleet, print_failures, rows_of
 from beryljunction.node import OperatorClient
 from beryljunction.timeline import Event, merge_events
 
@@ -15,7 +15,7 @@
 
 def timeline(
     *,
-    config: pathlib.Path = CONFIG,
+    config: pathlib.Path = DEFAULT_OPERATOR_FILE,
     hosts: str = "",
     at: str = "",
     request: str | None = None,
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -243,7 +243,7 @@
         assert "fleet: 20.0, set by asha in version 1" in explained
 
     def test_process_in_both_file_and_host_list_is_counted_once(self, beryl, monkeypatch):
-        monkeypatch.setattr("beryljunction.cli.settings_change._IN_FORCE_S", 0.0)
+        monkeypatch.setattr("beryljunction.cli.settings_change._IN_FORCE_TIMEOUT_S", 0.0)
         node = beryl.fleet.servers[1].address
         row = HostRow("host-a", "drafter-0", "drafter", "ahd-a", "gj-west", node)
         beryl.fleet.hosts.put(attrs.evolve(row, operator_address="127.0.0.1:1"))
