--- a/src/beryljunction/bench/handover.py
+++ b/src/beryljunction/bench/handover.py
@@ -14,7 +14,7 @@
 import httpcore
 
 from beryljunction.entry.writers import ROUTE_HINT_HEADER
-from beryljunction.local import DEMO_KEY, LocalFleet, demo_view
+from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view
 from beryljunction.servers import client_pool
 from beryljunction.settings import ResolvedSettings
 
@@ -27,7 +27,7 @@
 _TOKEN_CHARS = 4
 _ANSWER_TOKENS = 8
 _LONG_TOKENS = 150
-_HEADERS = [("authorization", f"Bearer {DEMO_KEY}"), ("content-type", "application/json")]
+_HEADERS = [("authorization", f"Bearer {DEMO_API_KEY}"), ("content-type", "application/json")]
 
 
 @attrs.frozen
@@ -95,11 +95,11 @@
         for number in range(_ENDPOINTS):
             await fleet.add_endpoint(f"{_SERVICE}-{number}", _SERVICE)
         entry = await fleet.add_entry()
-        await fleet.settle()
+        await fleet.wait_until_ready()
         run = _Run(load, pool, fleet, entry, figures)
         await run.warm_up()
         await run.leave_and_return()
-        await fleet.close()
+        await fleet.stop()
         group.cancel_scope.cancel()
     return figures
 
@@ -158,7 +158,7 @@
 
     async def _take_away(self) -> None:
         started_s = time.monotonic()
-        await self._fleet.take_away(_LEAVING)
+        await self._fleet.remove_endpoint(_LEAVING)
         self._figures.stop_s = time.monotonic() - started_s
 
     async def _come_back(self, number: int, moment: float) -> None:
--- a/src/beryljunction/bench/slopes/load.py
+++ b/src/beryljunction/bench/slopes/load.py
@@ -6,11 +6,11 @@
 import attrs
 
 from beryljunction.bench.slopes.rig import Node, Rig
-from beryljunction.local import DEMO_KEY
+from beryljunction.local import DEMO_API_KEY
 
 __all__ = ["LoadCount", "open_streams", "paced_calls"]
 
-_HEADERS = [("authorization", f"Bearer {DEMO_KEY}"), ("content-type", "application/json")]
+_HEADERS = [("authorization", f"Bearer {DEMO_API_KEY}"), ("content-type", "application/json")]
 _MODEL = "drafter"
 _FRAME_END = b"\n\n"
 
--- a/src/beryljunction/bench/slopes/rig.py
+++ b/src/beryljunction/bench/slopes/rig.py
@@ -21,7 +21,7 @@
 
 from beryljunction.bench.usage import Usage, usage_of
 from beryljunction.errors import StartError
-from beryljunction.local.demo_view import DEMO_REGION, DEMO_ZONES, leaves_of_view
+from beryljunction.local.demo_view import DEMO_REGION, DEMO_ZONES, settings_by_path
 from beryljunction.local.files import StandInEndpoint, StandInsFile
 from beryljunction.servers import client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
@@ -125,7 +125,7 @@
             self._log_listen,
             tuple(endpoints or ()),
             tuple(rows),
-            leaves_of_view(self.view),
+            settings_by_path(self.view),
         )
         path = self._write("standins", file)
         self._spawn("beryl-local", "standins", str(path))
--- a/src/beryljunction/cli/local.py
+++ b/src/beryljunction/cli/local.py
@@ -9,15 +9,15 @@
 
 from beryljunction.cli.daemons import run_file
 from beryljunction.local import (
-    DEMO_KEY,
-    FleetPlan,
+    DEMO_API_KEY,
+    LocalFleetSize,
     StandInsFile,
     print_demo,
     run_demo,
+    run_interactive_fleet,
+    run_interactive_platform,
     run_standins,
-    serve_fleet,
-    serve_platform,
-    write_files,
+    write_process_files,
 )
 
 __all__ = ["main"]
@@ -36,7 +36,7 @@
     :param endpoints: Endpoints of each service.
     """
     try:
-        anyio.run(serve_fleet, endpoints)
+        anyio.run(run_interactive_fleet, endpoints)
     except KeyboardInterrupt:
         return 0
     return 0
@@ -49,7 +49,7 @@
     The log goes to standard output, the example commands go to standard error.
     """
     try:
-        anyio.run(serve_platform)
+        anyio.run(run_interactive_platform)
     except KeyboardInterrupt:
         return 0
     return 0
@@ -62,7 +62,7 @@
     :param first_port: First of the consecutive loopback ports that the processes listen on.
     """
     directory.mkdir(parents=True, exist_ok=True)
-    entries = write_files(directory, itertools.count(first_port), FleetPlan())
+    entries = write_process_files(directory, itertools.count(first_port), LocalFleetSize())
     print(f"beryl-local standins {directory}/standins.toml")
     for path in sorted(directory.glob("*.toml")):
         if path.stem.startswith("entry-"):
@@ -70,7 +70,7 @@
         elif path.stem not in ("standins", "operator"):
             print(f"beryl-sidecar {path}")
     print(f"beryl status --config {directory}/operator.toml")
-    print(f"# entries: {' '.join(entries)}  API key: {DEMO_KEY}")
+    print(f"# entries: {' '.join(entries)}  API key: {DEMO_API_KEY}")
     return 0
 
 
--- a/src/beryljunction/local/demo.py
+++ b/src/beryljunction/local/demo.py
@@ -10,7 +10,7 @@
 import attrs
 import httpcore
 
-from beryljunction.local.demo_view import DEMO_KEY, demo_view
+from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
 from beryljunction.local.fleet import LocalFleet
 from beryljunction.servers import client_pool
 
@@ -31,7 +31,7 @@
 _CALL_INTERVAL_S = 0.12
 _CALL_WORK_S = 0.3
 _REPLACE_AFTER_S = 1.5
-_HEADERS = [("authorization", f"Bearer {DEMO_KEY}"), ("content-type", "application/json")]
+_HEADERS = [("authorization", f"Bearer {DEMO_API_KEY}"), ("content-type", "application/json")]
 
 
 @attrs.define
@@ -97,12 +97,12 @@
                 await fleet.add_endpoint(f"{service}-{number}", service)
         for _ in range(_ENTRIES):
             await fleet.add_entry()
-        await fleet.settle()
+        await fleet.wait_until_ready()
         for plain in fleet.plain_services:
             plain.work_s = _CALL_WORK_S
         await _send_requests(_Callers(pool, fleet, result))
         _count_runs(fleet, result)
-        await fleet.close()
+        await fleet.stop()
         group.cancel_scope.cancel()
     return result
 
@@ -122,7 +122,7 @@
 
 async def _replace_endpoint(fleet: LocalFleet, endpoint_id: str, service: str) -> None:
     """Remove an endpoint while it has requests in flight and start another under the same id."""
-    await fleet.take_away(endpoint_id)
+    await fleet.remove_endpoint(endpoint_id)
     await fleet.add_endpoint(endpoint_id, service)
 
 
@@ -224,7 +224,7 @@
 
     def _next_entry(self) -> str:
         self._sent += 1
-        return self.fleet.entries[self._sent % len(self.fleet.entries)]
+        return self.fleet.entry_urls[self._sent % len(self.fleet.entry_urls)]
 
 
 def print_demo(result: DemoResult) -> None:
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_view.py
@@ -12,16 +12,16 @@
 from beryljunction.stores import LogClient
 
 __all__ = [
-    "DEMO_KEY",
+    "DEMO_API_KEY",
     "DEMO_OPERATOR",
     "DEMO_REGION",
     "DEMO_ZONES",
     "demo_view",
-    "leaves_of_view",
-    "publish_leaves",
+    "settings_by_path",
+    "publish_settings",
 ]
 
-DEMO_KEY = "demo-key"
+DEMO_API_KEY = "demo-key"
 DEMO_OPERATOR = "newcomer"
 _KIND = "kind"
 DEMO_REGION = "gj-west"
@@ -30,7 +30,7 @@
 
 def demo_view() -> ResolvedSettings:
     """Return the settings of the demo: two model services and a plain service."""
-    digest = hashlib.sha256(DEMO_KEY.encode()).hexdigest()
+    digest = hashlib.sha256(DEMO_API_KEY.encode()).hexdigest()
     return ResolvedSettings(
         services={
             "reel-llm": ServiceSettings(models=("reel-llm",)),
@@ -41,7 +41,7 @@
     )
 
 
-def leaves_of_view(view: ResolvedSettings) -> dict[str, Any]:
+def settings_by_path(view: ResolvedSettings) -> dict[str, Any]:
     """Return the paths and values of a view; values at their default are omitted, except `kind`."""
     groups: dict[str, Mapping[str, Any]] = {"service": view.services, "account": view.accounts}
     return {
@@ -53,7 +53,7 @@
     }
 
 
-async def publish_leaves(log: LogClient, leaves: dict[str, Any]) -> None:
+async def publish_settings(log: LogClient, settings: dict[str, Any]) -> None:
     """Publish settings to a log, as an operator does.
 
     Raises:
@@ -61,7 +61,7 @@
     """
     session = OperatorSession(log, DEMO_OPERATOR)
     await session.sync()
-    edits = tuple(Edit(path, value) for path, value in leaves.items())
+    edits = tuple(Edit(path, value) for path, value in settings.items())
     answer = await session.publish(edits, "settings to start with")
     if isinstance(answer, InvalidChange):
         raise SettingsError(list(answer.problems))
--- a/src/beryljunction/local/files.py
+++ b/src/beryljunction/local/files.py
@@ -13,13 +13,13 @@
     DEMO_REGION,
     DEMO_ZONES,
     demo_view,
-    leaves_of_view,
+    settings_by_path,
 )
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
 from beryljunction.settings.schema import OperatorFile
 from beryljunction.stores import HostRow
 
-__all__ = ["FleetPlan", "StandInEndpoint", "StandInsFile", "write_files"]
+__all__ = ["LocalFleetSize", "StandInEndpoint", "StandInsFile", "write_process_files"]
 
 _LOOPBACK = "127.0.0.1"
 _FLEET_KEY = "local-fleet-key"
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class FleetPlan:
+class LocalFleetSize:
     """Number of processes of each kind; ``endpoints`` is the number for each service."""
 
     entries: int = 2
@@ -98,9 +98,9 @@
 
     def finish(self) -> None:
         """Write the files of the stand-ins and of the operator."""
-        leaves = leaves_of_view(self._view)
+        settings = settings_by_path(self._view)
         endpoints, rows = tuple(self._endpoints), tuple(self._rows)
-        standins = StandInsFile(self._hosts_listen, self._log_listen, endpoints, rows, leaves)
+        standins = StandInsFile(self._hosts_listen, self._log_listen, endpoints, rows, settings)
         self._write("standins", standins)
         operator = OperatorFile(
             DEMO_OPERATOR,
@@ -131,18 +131,18 @@
         (self._directory / f"{name}.toml").write_text(data, "utf-8")
 
 
-def write_files(
+def write_process_files(
     directory: pathlib.Path,
     ports: Iterator[int],
-    plan: FleetPlan,
+    size: LocalFleetSize,
     view: ResolvedSettings | None = None,
 ) -> list[str]:
     """Write a file for each process and return the entries' addresses."""
     view = view if view is not None else demo_view()
     writer = _FleetFileWriter(directory, ports, view)
-    entries = [writer.add_entry(number) for number in range(plan.entries)]
+    entries = [writer.add_entry(number) for number in range(size.entries)]
     for service in view.services:
-        for number in range(plan.endpoints):
+        for number in range(size.endpoints):
             writer.add_endpoint(number, service)
     writer.finish()
     return entries
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -12,8 +12,8 @@
 from beryljunction.local.demo_view import (
     DEMO_REGION,
     DEMO_ZONES,
-    leaves_of_view,
-    publish_leaves,
+    publish_settings,
+    settings_by_path,
 )
 from beryljunction.local.standins import start_endpoint
 from beryljunction.node import FleetProcess
@@ -67,9 +67,9 @@
         self._group = group
         self._tls = tls
         self.view = view
-        self.hosts = HostListStandIn()
+        self.host_list = HostListStandIn()
         self.endpoints: dict[str, LocalEndpoint] = {}
-        self.entries: list[str] = []
+        self.entry_urls: list[str] = []
         self.nodes: list[FleetProcess] = []
         self.plain_services: list[PlainStandIn] = []
         self.log = LogModel()
@@ -91,27 +91,27 @@
         local = self.endpoints[endpoint_id] = LocalEndpoint(row, app, server, node)
         return local
 
-    async def take_away(self, endpoint_id: str) -> None:
+    async def remove_endpoint(self, endpoint_id: str) -> None:
         """Remove an endpoint as the platform does and wait until its sidecar has stopped."""
         local = self.endpoints.pop(endpoint_id)
-        self.hosts.put(attrs.evolve(local.row, state=_LEAVING))
+        self.host_list.put(attrs.evolve(local.row, state=_LEAVING))
         local.node.stop()
         await local.node.ended.wait()
         self.nodes.remove(local.node)
-        self.hosts.remove(local.row.key)
+        self.host_list.remove(local.row.key)
         local.server.stop()
 
     async def add_entry(self) -> str:
         """Start an entry and return its base URL."""
-        number = len(self.entries)
+        number = len(self.entry_urls)
         process = await self._process_settings(f"entry-{number}", number)
         node = FleetProcess.entry(EntryFile(process), ResolvedSettings())
         row = await self._start(node)
         scheme = "http" if self._tls is None else "https"
-        self.entries.append(f"{scheme}://{row.address}")
-        return self.entries[-1]
+        self.entry_urls.append(f"{scheme}://{row.address}")
+        return self.entry_urls[-1]
 
-    async def close(self) -> None:
+    async def stop(self) -> None:
         """Stop all processes at once; only for use when no request is in flight."""
         for scope in self._scopes:
             scope.cancel()
@@ -122,7 +122,7 @@
         for server in self._platform_servers.values():
             server.stop()
 
-    async def settle(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until every process has read the whole host list and the settings.
 
         Raises:
@@ -139,7 +139,7 @@
 
     def _is_ready(self, node: FleetProcess) -> bool:
         status = node.status()
-        return not status.not_ready and status.hosts_version >= self.hosts.model.version
+        return not status.not_ready and status.hosts_version >= self.host_list.model.version
 
     async def _run(
         self, node: FleetProcess, *, task_status: Any = anyio.TASK_STATUS_IGNORED
@@ -163,7 +163,7 @@
             state=_LIVE,
             operator_address=node.operator_server.address,
         )
-        self.hosts.put(row)
+        self.host_list.put(row)
         await self._wait_until(lambda: node.status().settings_version > 0)
         return row
 
@@ -182,12 +182,12 @@
 
     async def hosts_url(self) -> str:
         """Return the base URL of the host list, which is started on first use."""
-        return await self._platform_url("hosts", self.hosts)
+        return await self._platform_url("hosts", self.host_list)
 
     async def log_url(self) -> str:
         """Return the base URL of the log, which is started on first use with the settings in it."""
         if "log" not in self._platform_servers:
-            await publish_leaves(ModelLogClient(self.log), leaves_of_view(self.view))
+            await publish_settings(ModelLogClient(self.log), settings_by_path(self.view))
         return await self._platform_url("log", LogStandIn(self.log))
 
     async def _platform_url(self, name: str, app: Asgi) -> str:
--- a/src/beryljunction/local/platform.py
+++ b/src/beryljunction/local/platform.py
@@ -13,7 +13,7 @@
 from beryljunction.servers import Server, bind
 from beryljunction.standins import PlatformEndpointStandIn, PlatformStoreStandIn
 
-__all__ = ["LocalPlatform", "serve_platform"]
+__all__ = ["LocalPlatformFleet", "run_interactive_platform"]
 
 _API_KEY = "demo-key"
 _HOST = "demo.example"
@@ -28,7 +28,7 @@
 """
 
 
-class LocalPlatform:
+class LocalPlatformFleet:
     """Stand-ins of the store and of the endpoints of two services, and one entry.
 
     Attributes:
@@ -77,10 +77,10 @@
         return host, int(port)
 
 
-async def serve_platform() -> None:
+async def run_interactive_platform() -> None:
     """Run the stand-ins and the entry and print example commands to standard error."""
     async with anyio.create_task_group() as group:
-        local = LocalPlatform(group)
+        local = LocalPlatformFleet(group)
         await local.start()
         callers, probes = (
             f"{host}:{port}" for host, port in (local.host.callers, local.host.probes)
--- a/src/beryljunction/local/serving.py
+++ b/src/beryljunction/local/serving.py
@@ -2,10 +2,10 @@
 
 import anyio
 
-from beryljunction.local.demo_view import DEMO_KEY, demo_view
+from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
 from beryljunction.local.fleet import LocalFleet
 
-__all__ = ["serve_fleet"]
+__all__ = ["run_interactive_fleet"]
 
 _EXAMPLES = """\
 curl -N {entry}/v1/chat/completions -H 'Authorization: Bearer {key}' \\
@@ -19,7 +19,7 @@
 """
 
 
-async def serve_fleet(endpoints: int) -> None:
+async def run_interactive_fleet(endpoints: int) -> None:
     """Run two entries, endpoints of each service and stand-ins; print example commands."""
     async with anyio.create_task_group() as group:
         fleet = LocalFleet(group, demo_view())
@@ -27,8 +27,8 @@
             for number in range(endpoints):
                 await fleet.add_endpoint(f"{service}-{number}", service)
         entries = [await fleet.add_entry() for _ in range(2)]
-        await fleet.settle()
+        await fleet.wait_until_ready()
         operator = f"http://{fleet.nodes[-1].operator_server.address}"
         hosts = await fleet.hosts_url()
-        text = _EXAMPLES.format(entry=entries[0], key=DEMO_KEY, operator=operator, hosts=hosts)
+        text = _EXAMPLES.format(entry=entries[0], key=DEMO_API_KEY, operator=operator, hosts=hosts)
         print(text, flush=True)
--- a/src/beryljunction/local/standins.py
+++ b/src/beryljunction/local/standins.py
@@ -6,7 +6,7 @@
 import anyio
 import anyio.abc
 
-from beryljunction.local.demo_view import publish_leaves
+from beryljunction.local.demo_view import publish_settings
 from beryljunction.local.files import StandInsFile
 from beryljunction.servers import Server, bind
 from beryljunction.standins import (
@@ -45,7 +45,7 @@
         server = Server(hosts, bind(file.hosts_listen))
         await group.start(server.run_until_stopped)
         log = LogModel()
-        await publish_leaves(ModelLogClient(log), file.settings)
+        await publish_settings(ModelLogClient(log), file.settings)
         log_server = Server(LogStandIn(log), bind(file.log_listen))
         await group.start(log_server.run_until_stopped)
         for endpoint in file.endpoints:
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -6,12 +6,12 @@
 import httpcore
 import pytest
 
-from beryljunction.local import DEMO_KEY, DemoResult, LocalFleet, demo_view
+from beryljunction.local import DEMO_API_KEY, DemoResult, LocalFleet, demo_view
 from beryljunction.servers import client_pool
 from beryljunction.settings import TlsSettings
 
 CERTIFICATES = pathlib.Path(__file__).parent / "certificates"
-AUTH = [("authorization", f"Bearer {DEMO_KEY}")]
+AUTH = [("authorization", f"Bearer {DEMO_API_KEY}")]
 
 
 def tls_settings():
@@ -26,7 +26,7 @@
                 fleet = LocalFleet(group, demo_view(), tls_settings())
                 local = await fleet.add_endpoint("ledger-0", "ledger")
                 entry = await fleet.add_entry()
-                await fleet.settle()
+                await fleet.wait_until_ready()
                 caller = ssl.create_default_context(cafile=CERTIFICATES / "fleet-authority.pem")
                 async with client_pool(caller) as pool:
                     response = await pool.request(
@@ -34,7 +34,7 @@
                     )
                     with pytest.raises((httpcore.NetworkError, httpcore.ProtocolError)):
                         await pool.request("GET", f"https://{local.row.address}/")
-                await fleet.close()
+                await fleet.stop()
                 group.cancel_scope.cancel()
                 return json.loads(response.content)
 
@@ -48,14 +48,14 @@
                 fleet = LocalFleet(group, demo_view())
                 before = await fleet.add_endpoint("ledger-0", "ledger")
                 entry = await fleet.add_entry()
-                await fleet.settle()
-                await fleet.take_away("ledger-0")
+                await fleet.wait_until_ready()
+                await fleet.remove_endpoint("ledger-0")
                 after = await fleet.add_endpoint("ledger-0", "ledger")
-                await fleet.settle()
+                await fleet.wait_until_ready()
                 response = await pool.request(
                     "POST", f"{entry}/services/ledger/notes", headers=AUTH, content=b"note"
                 )
-                await fleet.close()
+                await fleet.stop()
                 group.cancel_scope.cancel()
                 return before.row.incarnation, after.row.incarnation, response.status
 
--- a/testing/test_local_platform.py
+++ b/testing/test_local_platform.py
@@ -1,7 +1,7 @@
 import anyio
 
 from beryljunction.gateway.events import EntryEventLog
-from beryljunction.local import LocalPlatform
+from beryljunction.local import LocalPlatformFleet
 from entry_harness import CapturedLog, EntryHarness
 
 HEAD = (
@@ -10,11 +10,11 @@
 )
 
 
-class TestLocalPlatform:
+class TestLocalPlatformFleet:
     def test_a_stream_and_a_call_are_relayed_whole(self):
         async def run():
             async with anyio.create_task_group() as group:
-                local = LocalPlatform(group)
+                local = LocalPlatformFleet(group)
                 await local.start(EntryEventLog("entry-local", "local", CapturedLog()))
 
                 async def is_ready():
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -18,7 +18,13 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import PlatformUnavailableError
-from beryljunction.local import DEMO_KEY, FleetPlan, StandInsFile, demo_view, write_files
+from beryljunction.local import (
+    DEMO_API_KEY,
+    LocalFleetSize,
+    StandInsFile,
+    demo_view,
+    write_process_files,
+)
 from beryljunction.node import EntryRole, HostListCache, HostListWatcher, RoleContext, SidecarRole
 from beryljunction.servers import client_pool
 from beryljunction.settings import (
@@ -59,7 +65,7 @@
 
 def fetch(address, path, data=None):
     request = urllib.request.Request(f"http://{address}{path}", data)
-    request.add_header("authorization", f"Bearer {DEMO_KEY}")
+    request.add_header("authorization", f"Bearer {DEMO_API_KEY}")
     with urllib.request.urlopen(request, timeout=20) as response:
         return response.read()
 
@@ -83,10 +89,10 @@
     """Two entries, one endpoint per service and the stand-ins, each in a separate process."""
 
     def __init__(self, directory):
-        plan = FleetPlan(entries=2, endpoints=1)
+        size = LocalFleetSize(entries=2, endpoints=1)
         self.held = contextlib.ExitStack()
         ports = free_ports(self.held)
-        self.entries = write_files(directory, ports, plan, short_lived_view())
+        self.entries = write_process_files(directory, ports, size, short_lived_view())
         self.running = {"standins": start("beryl-local", "standins", f"{directory}/standins.toml")}
         self.operators = {}
         standins = load_file(directory / "standins.toml", StandInsFile)
@@ -205,7 +211,7 @@
         request = urllib.request.Request(
             f"http://{processes.entries[1]}/v1/chat/completions", json.dumps(body).encode()
         )
-        request.add_header("authorization", f"Bearer {DEMO_KEY}")
+        request.add_header("authorization", f"Bearer {DEMO_API_KEY}")
         entry = processes.running["entry-1"]
 
         with urllib.request.urlopen(request, timeout=20) as response:
--- a/testing/test_node_orders.py
+++ b/testing/test_node_orders.py
@@ -20,7 +20,7 @@
                     (await fleet.add_endpoint(f"drafter-{i}", "drafter")).app for i in (0, 1)
                 ]
                 ledger = (await fleet.add_endpoint("ledger-0", "ledger")).app
-                await fleet.settle()
+                await fleet.wait_until_ready()
                 session = OperatorSession(ModelLogClient(fleet.log, time.monotonic), "asha")
                 await session.sync()
                 answer = await session.publish((Edit("service.drafter.model_version", "v2"),))
@@ -31,7 +31,7 @@
                 with anyio.fail_after(TIMEOUT_S):
                     while sidecar.role.sidecar.admission.paused:
                         await anyio.sleep(0.05)
-                await fleet.close()
+                await fleet.stop()
                 group.cancel_scope.cancel()
             return answer, ledger.runs
 
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from beryljunction.local import DEMO_KEY, LocalFleet, demo_view, run_demo
+from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view, run_demo
 from beryljunction.servers import client_pool
 
 
@@ -21,10 +21,14 @@
         ("key", "body", "status", "code"),
         [
             pytest.param("wrong", b"{}", 401, "unauthenticated", id="unknown-key"),
-            pytest.param(DEMO_KEY, b"{", 400, "bad_request", id="not-json"),
-            pytest.param(DEMO_KEY, b'{"model": 3}', 400, "bad_request", id="wrong-type"),
+            pytest.param(DEMO_API_KEY, b"{", 400, "bad_request", id="not-json"),
+            pytest.param(DEMO_API_KEY, b'{"model": 3}', 400, "bad_request", id="wrong-type"),
             pytest.param(
-                DEMO_KEY, b'{"model": "x", "messages": []}', 404, "not_found", id="no-such-model"
+                DEMO_API_KEY,
+                b'{"model": "x", "messages": []}',
+                404,
+                "not_found",
+                id="no-such-model",
             ),
         ],
     )
