--- a/src/beryljunction/bench/control.py
+++ b/src/beryljunction/bench/control.py
@@ -14,7 +14,7 @@
 from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.settings.snapshots import SnapshotSchedule
 from beryljunction.systems import LoadTracker
-from beryljunction.wire import encode_rows
+from beryljunction.wire import encode_load_rows
 
 __all__ = ["CONTROL_SIZES", "ControlFigures", "ControlSize", "measure_control"]
 
@@ -140,7 +140,7 @@
         rows[0] = attrs.evolve(rows[0], sequence=rows[0].sequence + 100_000)
         loads[peer].merge(rows, now_s)
         if now_s >= _SETTLE_S:
-            size_bytes = int(messages.load_head) + len(encode_rows(rows))
+            size_bytes = int(messages.load_head) + len(encode_load_rows(rows))
             bytes_by_name[name] += size_bytes
             bytes_by_name[peer] += size_bytes
     return [count / _COUNTED_S for count in bytes_by_name.values()]
--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -22,7 +22,7 @@
 from beryljunction.standins import HostListStandIn, LogStandIn
 from beryljunction.stores import HostRow, HttpHostList, HttpLogClient
 from beryljunction.systems import LoadTracker
-from beryljunction.wire import PEERS_PATH, encode_rows
+from beryljunction.wire import PEERS_PATH, encode_load_rows
 
 __all__ = ["MessageBytes", "busy_row", "measure_messages"]
 
@@ -134,7 +134,7 @@
         exchange = LoadExchange(load, counted.pool, _KEY, _version, _ignore)
         exchange.set_peers({"reel-llm-2": counted.server.address})
         await exchange.send_to("reel-llm-2")
-        return counted.total_bytes - len(encode_rows([load.own_row()]))
+        return counted.total_bytes - len(encode_load_rows([load.own_row()]))
 
 
 async def _meeting() -> float:
--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -28,7 +28,7 @@
     chat_key_of,
 )
 from beryljunction.tables import Endpoint, EndpointTable, SidecarRequest
-from beryljunction.wire import ChatMoved, encode, encode_rows
+from beryljunction.wire import ChatMoved, encode, encode_load_rows
 
 __all__ = ["Asked", "FakeSidecar", "World"]
 
@@ -233,7 +233,7 @@
         if not peer.is_up:
             load.ignore_until_newer_row(peer.name)
             return
-        size_bytes = _HTTP_BYTES + len(encode_rows(rows))
+        size_bytes = _HTTP_BYTES + len(encode_load_rows(rows))
         self.control_bytes += size_bytes
         peer.control_bytes += size_bytes
         world.send(peer.admission.load.merge, rows, world.now_s)
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -19,7 +19,7 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamName
 from beryljunction.tables import Endpoint
-from beryljunction.wire import Attach, Cancel, Envelope, Outcome, refusal_from_body
+from beryljunction.wire import Attach, Cancel, Envelope, Outcome, decode_refusal
 
 __all__ = ["Relay"]
 
@@ -174,7 +174,7 @@
             return _Reattach(failed=True)
         body = await answer.response.aread()
         if answer.outcome is Outcome.REFUSAL:
-            return refusal_from_body(body)
+            return decode_refusal(body)
         if answer.outcome is Outcome.ANSWER:
             headers = [(k, v) for k, v in answer.response.headers if k not in _HOP_HEADERS]
             return _CompleteAnswer(answer.response.status, headers, body)
@@ -194,7 +194,7 @@
             if checker.gap:
                 break
         if checker.error is not None:
-            return _StreamEnd(refusal_from_body(checker.error))
+            return _StreamEnd(decode_refusal(checker.error))
         return _Reattach(failed=True)
 
     async def _open_stream(self, name: StreamName) -> SequenceChecker:
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -36,8 +36,8 @@
     TicketGrant,
     TicketWish,
     decode,
+    decode_refusal,
     encode,
-    refusal_from_body,
 )
 
 __all__ = [
@@ -165,7 +165,7 @@
                 ) as answer:
                     body = await answer.response.aread()
                     if answer.outcome is Outcome.REFUSAL:
-                        return refusal_from_body(body)
+                        return decode_refusal(body)
                     return decode(body, TicketGrant).ticket
             except (*CONNECT_ERRORS, *CONNECTION_ERRORS, ValueError):
                 return None
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -22,7 +22,7 @@
 )
 from beryljunction.systems.state.ticket_attempts import Mint, TicketAttempts, TicketStep, UseTicket
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
-from beryljunction.wire import KEY_SHARDS, Envelope, KeyWish, claim_stream
+from beryljunction.wire import IDEMPOTENCY_KEY_SHARDS, Envelope, KeyWish, claim_log_stream
 
 __all__ = ["TicketRouter"]
 
@@ -122,7 +122,7 @@
             message = "expected a sidecar that gives tickets, found none; retry with the same key"
             return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.UNKNOWN, 1.0, try_ran=Ran.NO)
         digest = key_digest(envelope.account, envelope.service, key)
-        shard = claim_shard(digest, KEY_SHARDS)
+        shard = claim_shard(digest, IDEMPOTENCY_KEY_SHARDS)
         request = body_digest(envelope.method.encode(), envelope.path.encode(), body)
         key_claim = KeyWish(envelope.request_id, shard, digest, request, ticket)
         for home in self._shard_homes(shard):
@@ -132,7 +132,7 @@
         return key_refusal(KeyUnavailable(1.0))
 
     def _shard_homes(self, shard: int) -> list[Endpoint]:
-        key = chat_key_of("", claim_stream(shard))
+        key = chat_key_of("", claim_log_stream(shard))
         live = [row for row in self._endpoints if row.state is EndpointState.LIVE]
         return heapq.nlargest(
             _MAX_HOMES, live, key=lambda row: rendezvous_score(key, row.endpoint_id, row.weight)
--- a/src/beryljunction/entry/writers.py
+++ b/src/beryljunction/entry/writers.py
@@ -5,7 +5,7 @@
 from beryljunction.outcomes import Refusal, RefusalCode
 from beryljunction.servers import Send, respond
 from beryljunction.streams import StreamName, error_event
-from beryljunction.wire import REQUEST_ID_HEADER, STREAM_HEADER, refusal_body
+from beryljunction.wire import REQUEST_ID_HEADER, STREAM_HEADER, encode_refusal
 
 __all__ = ["IDEMPOTENCY_KEY_HEADER", "ROUTE_HINT_HEADER", "TICKET_HEADER", "ResponseWriter"]
 
@@ -51,7 +51,7 @@
 
     async def send_error(self, refusal: Refusal) -> None:
         """End the response with an error: a JSON body, or an event if a stream is open."""
-        body = refusal_body(refusal, self.request_id)
+        body = encode_refusal(refusal, self.request_id)
         if self.streaming:
             await self.end(error_event(body))
             return
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -18,7 +18,7 @@
 from beryljunction.servers import Asgi, Receive, Scope, Send, respond
 from beryljunction.settings import ProcessSettings
 from beryljunction.timeline import HLC_HEADER, Timeline
-from beryljunction.wire import DRAIN_PATH, Drain, decode, encode, refusal_body
+from beryljunction.wire import DRAIN_PATH, Drain, decode, encode, encode_refusal
 
 __all__ = ["OperatorKeyMiddleware", "operator_app", "operator_key_digests"]
 
@@ -51,7 +51,7 @@
             return
         message = "expected an operator's key as 'Authorization: Bearer KEY'"
         refusal = Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
-        await respond(send, 401, refusal_body(refusal, ""), [(b"www-authenticate", b"Bearer")])
+        await respond(send, 401, encode_refusal(refusal, ""), [(b"www-authenticate", b"Bearer")])
 
     def _has_operator_key(self, scope: Scope) -> bool:
         given: bytes = dict(scope["headers"]).get(b"authorization", b"")
--- a/src/beryljunction/sidecar/keys.py
+++ b/src/beryljunction/sidecar/keys.py
@@ -14,7 +14,7 @@
     KeyUnavailable,
     KeyVerdict,
 )
-from beryljunction.wire import claim_stream
+from beryljunction.wire import claim_log_stream
 
 __all__ = ["KeyClaims"]
 
@@ -33,7 +33,7 @@
 
     def __init__(self, log: LogClient, shard: int, incarnation: str, limits: ClaimLimits) -> None:
         self._log = log
-        self._name = claim_stream(shard)
+        self._name = claim_log_stream(shard)
         self._resolver = KeyClaimResolver(f"{self._name}.{incarnation}", limits)
         self._waiting: dict[str, anyio.Event] = {}
         self._verdicts: dict[str, KeyVerdict] = {}
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -16,7 +16,7 @@
 from beryljunction.servers import Receive, Scope, Send, read_body, respond
 from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.systems import LoadTracker
-from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_rows, encode_rows
+from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_load_rows, encode_load_rows
 
 __all__ = ["LoadExchange"]
 
@@ -80,7 +80,7 @@
 
     async def send_to(self, endpoint_id: str) -> None:
         """Send rows to one peer; without an answer, the peer's row is ignored until a new one."""
-        body = encode_rows(self._load.rows_to_send(self._now_s()))
+        body = encode_load_rows(self._load.rows_to_send(self._now_s()))
         try:
             response = await self._pool.request(
                 "POST",
@@ -102,7 +102,7 @@
         """Answer a message from a peer; its fleet key has been checked."""
         body = await read_body(receive, _MAX_BODY_BYTES)
         try:
-            rows = decode_rows(body or b"")
+            rows = decode_load_rows(body or b"")
         except ValueError as error:
             await respond(send, 400, str(error).encode(), content_type=b"text/plain")
             return
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -15,7 +15,7 @@
 from beryljunction.sidecar.runs import Reader, Run
 from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.streams import HEARTBEAT, StreamName, error_event
-from beryljunction.wire import refusal_body
+from beryljunction.wire import encode_refusal
 
 __all__ = ["ReadRequest", "serve_reader"]
 
@@ -98,7 +98,7 @@
         await send({"type": "http.response.body", "body": data, "more_body": True})
     refusal = _end_refusal(run) if log.reaches(after) else _dropped_frames_refusal(after)
     is_complete = run.complete and after == log.last
-    last_event = b"" if is_complete else error_event(refusal_body(refusal, reader.request_id))
+    last_event = b"" if is_complete else error_event(encode_refusal(refusal, reader.request_id))
     await send({"type": "http.response.body", "body": last_event})
 
 
--- a/src/beryljunction/sidecar/writers.py
+++ b/src/beryljunction/sidecar/writers.py
@@ -7,7 +7,7 @@
 from beryljunction.streams import StreamName
 from beryljunction.tables import Answer, Stamp
 from beryljunction.timeline import HLC_HEADER, HybridClock
-from beryljunction.wire import OUTCOME_HEADER, STAMP_HEADER, STREAM_HEADER, Outcome, refusal_body
+from beryljunction.wire import OUTCOME_HEADER, STAMP_HEADER, STREAM_HEADER, Outcome, encode_refusal
 
 __all__ = ["ResponseWriter"]
 
@@ -40,7 +40,7 @@
         """Answer with a refusal."""
         status = _REFUSAL_STATUSES.get(refusal.code, _DEFAULT_REFUSAL_STATUS)
         await self._write_response(
-            status, Outcome.REFUSAL, [_JSON], refusal_body(refusal, request_id)
+            status, Outcome.REFUSAL, [_JSON], encode_refusal(refusal, request_id)
         )
 
     async def pending(self) -> None:
--- a/src/beryljunction/wire/__init__.py
+++ b/src/beryljunction/wire/__init__.py
@@ -7,11 +7,11 @@
 
 from beryljunction.wire.codec import (
     decode,
-    decode_rows,
+    decode_load_rows,
+    decode_refusal,
     encode,
-    encode_rows,
-    refusal_body,
-    refusal_from_body,
+    encode_load_rows,
+    encode_refusal,
 )
 from beryljunction.wire.messages import (
     Attach,
@@ -35,7 +35,7 @@
     DRAIN_PATH,
     ENVELOPE_HEADER,
     FLEET_KEY_HEADER,
-    KEY_SHARDS,
+    IDEMPOTENCY_KEY_SHARDS,
     MOVED_PATH,
     OUTCOME_HEADER,
     PEERS_PATH,
@@ -46,7 +46,7 @@
     STAMP_HEADER,
     STREAM_HEADER,
     TICKET_PATH,
-    claim_stream,
+    claim_log_stream,
 )
 
 __all__ = [
@@ -56,7 +56,7 @@
     "DRAIN_PATH",
     "ENVELOPE_HEADER",
     "FLEET_KEY_HEADER",
-    "KEY_SHARDS",
+    "IDEMPOTENCY_KEY_SHARDS",
     "MOVED_PATH",
     "OUTCOME_HEADER",
     "PEERS_PATH",
@@ -80,11 +80,11 @@
     "SidecarStatus",
     "TicketGrant",
     "TicketWish",
-    "claim_stream",
+    "claim_log_stream",
     "decode",
-    "decode_rows",
+    "decode_load_rows",
     "encode",
-    "encode_rows",
-    "refusal_body",
-    "refusal_from_body",
+    "encode_load_rows",
+    "encode_refusal",
+    "decode_refusal",
 ]
--- a/src/beryljunction/wire/codec.py
+++ b/src/beryljunction/wire/codec.py
@@ -11,11 +11,11 @@
 
 __all__ = [
     "decode",
-    "decode_rows",
+    "decode_load_rows",
     "encode",
-    "encode_rows",
-    "refusal_body",
-    "refusal_from_body",
+    "encode_load_rows",
+    "encode_refusal",
+    "decode_refusal",
 ]
 
 T = TypeVar("T")
@@ -52,7 +52,7 @@
         raise ValueError(f"expected a {cls.__name__}, got {data[:80]!r}: {error}") from error
 
 
-def refusal_body(refusal: Refusal, request_id: str) -> bytes:
+def encode_refusal(refusal: Refusal, request_id: str) -> bytes:
     """Return the JSON error body, which has one format for fleet processes and callers.
 
     ``type`` and ``param`` are included because common chat API clients expect them.
@@ -63,7 +63,7 @@
     return json.dumps({"error": error}).encode()
 
 
-def refusal_from_body(data: bytes) -> Refusal:
+def decode_refusal(data: bytes) -> Refusal:
     """Return the refusal in an error body.
 
     A body that can't be decoded doesn't prove whether the request ran, so the result is unknown.
@@ -75,12 +75,12 @@
         return Refusal(RefusalCode.OUTCOME_UNKNOWN, "unreadable answer", Ran.UNKNOWN)
 
 
-def encode_rows(rows: list[LoadRow]) -> bytes:
+def encode_load_rows(rows: list[LoadRow]) -> bytes:
     """Return load rows as JSON arrays; field names would make up most of the bytes."""
     return json.dumps([attrs.astuple(row) for row in rows], separators=(",", ":")).encode()
 
 
-def decode_rows(data: bytes) -> list[LoadRow]:
+def decode_load_rows(data: bytes) -> list[LoadRow]:
     """Return the load rows decoded from JSON bytes.
 
     Raises:
--- a/src/beryljunction/wire/paths.py
+++ b/src/beryljunction/wire/paths.py
@@ -7,7 +7,7 @@
     "DRAIN_PATH",
     "ENVELOPE_HEADER",
     "FLEET_KEY_HEADER",
-    "KEY_SHARDS",
+    "IDEMPOTENCY_KEY_SHARDS",
     "MOVED_PATH",
     "OUTCOME_HEADER",
     "PEERS_PATH",
@@ -18,7 +18,7 @@
     "STAMP_HEADER",
     "STREAM_HEADER",
     "TICKET_PATH",
-    "claim_stream",
+    "claim_log_stream",
 ]
 
 FLEET_KEY_HEADER = b"beryl-fleet-key"
@@ -40,9 +40,9 @@
 
 # All processes must use the same number. 64 log streams with five appends a second each stay within
 # the log's limits, and each stream is read only by the few sidecars that are or were its home.
-KEY_SHARDS = 64
+IDEMPOTENCY_KEY_SHARDS = 64
 
 
-def claim_stream(shard: int) -> str:
+def claim_log_stream(shard: int) -> str:
     """Return the name of the log stream that records claims of a shard's idempotency keys."""
     return f"keys-{shard}"
