--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -116,12 +116,12 @@
     async with _Counted(listed) as counted:
         hosts = HttpHostList(counted.pool, f"http://{counted.server.address}")
         for _ in range(_REPEATS):
-            await hosts.changes(0, _HOSTS_WAIT_S)
+            await hosts.fetch_changes(0, _HOSTS_WAIT_S)
         idle_bytes = counted.total_bytes / _REPEATS
         counted.total_bytes = 0
         for version in range(_REPEATS):
             listed.put(_host_row(version))
-            await hosts.changes(version, _HOSTS_WAIT_S)
+            await hosts.fetch_changes(version, _HOSTS_WAIT_S)
         return idle_bytes, counted.total_bytes / _REPEATS - idle_bytes
 
 
--- a/src/beryljunction/engines/turns.py
+++ b/src/beryljunction/engines/turns.py
@@ -35,7 +35,7 @@
             if isinstance(page, ReadFailed):
                 return False
             self.queue.apply(page)
-            if page.at_end:
+            if page.is_last:
                 return True
 
     async def enqueue(self, endpoint_id: str) -> None:
--- a/src/beryljunction/node/client.py
+++ b/src/beryljunction/node/client.py
@@ -59,7 +59,7 @@
         Raises:
             PlatformUnavailableError: If the host list did not answer.
         """
-        return list((await self._hosts.changes(0, 0.0)).rows)
+        return list((await self._hosts.fetch_changes(0, 0.0)).rows)
 
     async def status(self, rows: list[HostRow]) -> HostResponses[NodeStatus]:
         """Return the status of each process."""
--- a/src/beryljunction/node/hosts.py
+++ b/src/beryljunction/node/hosts.py
@@ -78,7 +78,7 @@
     async def _read(self) -> str:
         """Read and apply the next changes; return an error text, empty on success."""
         try:
-            changes = await self._hosts.changes(self.view.version, _POLL_WAIT_S)
+            changes = await self._hosts.fetch_changes(self.view.version, _POLL_WAIT_S)
         except PlatformUnavailableError as error:
             return str(error)
         if not self.view.apply(changes):
--- a/src/beryljunction/settings/follower.py
+++ b/src/beryljunction/settings/follower.py
@@ -133,7 +133,7 @@
         if self.state.needs_snapshot:
             return self._back_off()
         self._failures = 0
-        if not page.at_end:
+        if not page.is_last:
             return 0.0
         if self.settings.publishes and self._schedule.is_due(self._now_s()):
             await self._publish_snapshot()
--- a/src/beryljunction/stores/__init__.py
+++ b/src/beryljunction/stores/__init__.py
@@ -15,8 +15,8 @@
 )
 from beryljunction.stores.weights import (
     HttpWeightStore,
-    LoadBegun,
     LoadRefused,
+    LoadStarted,
     LoadUnknown,
     WeightStore,
 )
@@ -27,7 +27,7 @@
     "HostRow",
     "HttpHostList",
     "HttpWeightStore",
-    "LoadBegun",
+    "LoadStarted",
     "LoadRefused",
     "LoadUnknown",
     "WeightStore",
--- a/src/beryljunction/stores/hosts.py
+++ b/src/beryljunction/stores/hosts.py
@@ -68,7 +68,7 @@
     """Interface for reading the platform's host list."""
 
     @abc.abstractmethod
-    async def changes(self, after: int, wait_s: float) -> HostChanges:
+    async def fetch_changes(self, after: int, wait_s: float) -> HostChanges:
         """Return the changes after a version, waiting up to ``wait_s`` for the first one.
 
         Raises:
@@ -83,7 +83,7 @@
         self._pool = pool
         self._url = base_url.rstrip("/") + HOSTS_PATH
 
-    async def changes(self, after: int, wait_s: float) -> HostChanges:
+    async def fetch_changes(self, after: int, wait_s: float) -> HostChanges:
         """Return the changes after a version; see :meth:`HostList.changes`."""
         url = f"{self._url}?after={after}&wait_s={wait_s:g}"
         timeout = {"connect": _CONNECT_TIMEOUT_S, "read": wait_s + _READ_MARGIN_S}
--- a/src/beryljunction/stores/log.py
+++ b/src/beryljunction/stores/log.py
@@ -84,14 +84,14 @@
     next_offset: int
 
     @property
-    def read_to(self) -> int:
+    def last_offset(self) -> int:
         """Offset up to which the stream has been read with this page."""
         return self.records[-1].offset if self.records else self.next_offset - 1
 
     @property
-    def at_end(self) -> bool:
+    def is_last(self) -> bool:
         """Whether the page reaches the end of the stream."""
-        return self.read_to == self.next_offset - 1
+        return self.last_offset == self.next_offset - 1
 
 
 @attrs.frozen
--- a/src/beryljunction/stores/weights.py
+++ b/src/beryljunction/stores/weights.py
@@ -6,13 +6,13 @@
 import attrs
 import httpcore
 
-__all__ = ["HttpWeightStore", "LoadBegun", "LoadRefused", "LoadUnknown", "WeightStore"]
+__all__ = ["HttpWeightStore", "LoadStarted", "LoadRefused", "LoadUnknown", "WeightStore"]
 
 _RESPONSE_TIMEOUT_S = 5.0
 
 
 @attrs.frozen
-class LoadBegun:
+class LoadStarted:
     """The store has started to send the weights."""
 
     load_id: str
@@ -36,7 +36,7 @@
     """Interface for loading model weights by name."""
 
     @abc.abstractmethod
-    async def begin(self, name: str) -> LoadBegun | LoadRefused | LoadUnknown:
+    async def start_load(self, name: str) -> LoadStarted | LoadRefused | LoadUnknown:
         """Start a load."""
 
     @abc.abstractmethod
@@ -55,7 +55,7 @@
         self._base_url = base_url.rstrip("/")
         self._pool = pool
 
-    async def begin(self, name: str) -> LoadBegun | LoadRefused | LoadUnknown:
+    async def start_load(self, name: str) -> LoadStarted | LoadRefused | LoadUnknown:
         """Start a load; see :meth:`WeightStore.begin`."""
         response = await self._request("POST", "/loads", json.dumps({"name": name}).encode())
         if response is None:
@@ -63,7 +63,7 @@
         if response.status == 429:
             return LoadRefused(1.0)
         try:
-            return LoadBegun(str(json.loads(response.content)["load_id"]))
+            return LoadStarted(str(json.loads(response.content)["load_id"]))
         except (ValueError, KeyError, TypeError):
             return LoadUnknown(f"the weight store answered {response.status}")
 
--- a/testing/settings_safeguards.py
+++ b/testing/settings_safeguards.py
@@ -15,7 +15,7 @@
         for record in page.records:
             if record.offset > state.version:
                 state.tree.apply(record)
-        state.caught_up = page.at_end
+        state.caught_up = page.is_last
         state._resolve()
         return True
 
--- a/testing/test_hosts.py
+++ b/testing/test_hosts.py
@@ -50,10 +50,10 @@
                 await group.start(server.run_until_stopped)
                 hosts = HttpHostList(pool, f"http://{server.address}")
                 standin.put(ROW)
-                changes = await hosts.changes(0, 5.0)
+                changes = await hosts.fetch_changes(0, 5.0)
                 standin.faults = HostListFaults(outage=True)
                 with pytest.raises(PlatformUnavailableError, match="503"):
-                    await hosts.changes(changes.version, 0.0)
+                    await hosts.fetch_changes(changes.version, 0.0)
                 group.cancel_scope.cancel()
                 return changes
 
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -243,7 +243,7 @@
         self.answers = list(answers)
         self.asked = []
 
-    async def changes(self, after, wait_s):
+    async def fetch_changes(self, after, wait_s):
         self.asked.append(after)
         if not self.answers:
             await anyio.sleep_forever()
