--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -10,7 +10,16 @@
 from beryljunction.loads import LoadRow
 from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.traffic import CountingBackend
-from beryljunction.servers import Asgi, Receive, Scope, Send, Server, bind, client_pool, respond
+from beryljunction.servers import (
+    Asgi,
+    Receive,
+    Scope,
+    Send,
+    Server,
+    bind_listener,
+    create_client_pool,
+    send_response,
+)
 from beryljunction.settings import (
     CHANGES_STREAM,
     SETTINGS_PATH,
@@ -83,13 +92,15 @@
 
     def __init__(self, app: Asgi) -> None:
         self.total_bytes = 0
-        self.server = Server(app, bind("127.0.0.1:0"))
-        self.pool: httpcore.AsyncConnectionPool = client_pool(None, CountingBackend(self._count))
+        self.server = Server(app, bind_listener("127.0.0.1:0"))
+        self.pool: httpcore.AsyncConnectionPool = create_client_pool(
+            None, CountingBackend(self._count)
+        )
         self._group = anyio.create_task_group()
 
     async def __aenter__(self) -> "_Counted":
         await self._group.__aenter__()
-        await self._group.start(self.server.run_until_stopped)
+        await self._group.start(self.server.serve_until_stopped)
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -128,7 +139,7 @@
 async def _load_head() -> float:
     load = LoadTracker("reel-llm-1", "0a1b2c3d4e5f", rng=random.Random(1))
     other = LoadExchange(
-        LoadTracker("reel-llm-2", "0a1b2c3d4e5f"), client_pool(), _KEY, _version, _ignore
+        LoadTracker("reel-llm-2", "0a1b2c3d4e5f"), create_client_pool(), _KEY, _version, _ignore
     )
     async with _Counted(_front(PEERS_PATH, other)) as counted:
         exchange = LoadExchange(load, counted.pool, _KEY, _version, _ignore)
@@ -155,7 +166,7 @@
 
 
 async def _nothing_else(scope: Scope, receive: Receive, send: Send) -> None:
-    await respond(send, 404, b"")
+    await send_response(send, 404, b"")
 
 
 def _version() -> int:
--- a/src/beryljunction/bench/handover.py
+++ b/src/beryljunction/bench/handover.py
@@ -15,7 +15,7 @@
 
 from beryljunction.entry.writers import ROUTE_HINT_HEADER
 from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings
 
 __all__ = ["HandoverFigures", "HandoverLoad", "measure_handover"]
@@ -90,7 +90,7 @@
 
 async def _measure(load: HandoverLoad, handed_on: bool) -> HandoverFigures:
     figures = HandoverFigures(handed_on)
-    async with anyio.create_task_group() as group, client_pool() as pool:
+    async with anyio.create_task_group() as group, create_client_pool() as pool:
         fleet = LocalFleet(group, _view(handed_on))
         for number in range(_ENDPOINTS):
             await fleet.add_endpoint(f"{_SERVICE}-{number}", _SERVICE)
--- a/src/beryljunction/bench/relay.py
+++ b/src/beryljunction/bench/relay.py
@@ -17,7 +17,7 @@
 from beryljunction.bench.relay_parts import BENCH_KEY, MODEL
 from beryljunction.bench.usage import usage_of
 from beryljunction.errors import StartError
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 
 __all__ = ["RelayFigures", "RelayLoad", "measure_relay"]
 
@@ -121,7 +121,7 @@
         }
         headers = [("authorization", f"Bearer {BENCH_KEY}")]
         async with (
-            client_pool() as pool,
+            create_client_pool() as pool,
             pool.stream(
                 "POST", self._url, headers=headers, content=json.dumps(body).encode()
             ) as response,
--- a/src/beryljunction/bench/relay_parts.py
+++ b/src/beryljunction/bench/relay_parts.py
@@ -18,10 +18,10 @@
     Scope,
     Send,
     Server,
-    bind,
-    client_pool,
+    bind_listener,
+    create_client_pool,
     read_body,
-    respond,
+    send_response,
 )
 from beryljunction.settings import (
     AccountSettings,
@@ -50,7 +50,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         data = json.loads(await read_body(receive, _BODY_BYTES) or b"{}")
         if not data.get("stream"):
-            await respond(send, 404, b"{}")
+            await send_response(send, 404, b"{}")
             return
         headers = [(b"content-type", b"text/event-stream")]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
@@ -82,7 +82,7 @@
 
     def __init__(self, target: str) -> None:
         self._url = f"http://{target}/v1/chat/completions"
-        self._pool = client_pool(backend=httpcore.AnyIOBackend())
+        self._pool = create_client_pool(backend=httpcore.AnyIOBackend())
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         body = await read_body(receive, _BODY_BYTES) or b""
@@ -126,8 +126,8 @@
             await group.start(node.run)
             print(node.request_server.address, flush=True)
             return
-        server = Server(_APPS[role](target), bind(_FREE_PORT))
-        await group.start(server.run_until_stopped)
+        server = Server(_APPS[role](target), bind_listener(_FREE_PORT))
+        await group.start(server.serve_until_stopped)
         print(server.address, flush=True)
 
 
--- a/src/beryljunction/bench/settings_cost.py
+++ b/src/beryljunction/bench/settings_cost.py
@@ -8,7 +8,7 @@
 import attrs
 
 from beryljunction.node.traffic import CountingBackend
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import (
     CHANGES_STREAM,
     Accepted,
@@ -108,12 +108,12 @@
         counted[0] += sent_bytes + received_bytes
 
     log = LogStandIn()
-    server = Server(log, bind("127.0.0.1:0"))
+    server = Server(log, bind_listener("127.0.0.1:0"))
     async with (
         anyio.create_task_group() as group,
-        client_pool(None, CountingBackend(count)) as pool,
+        create_client_pool(None, CountingBackend(count)) as pool,
     ):
-        await group.start(server.run_until_stopped)
+        await group.start(server.serve_until_stopped)
         client = HttpLogClient(f"http://{server.address}", pool)
         pace = FollowerSettings(poll_s=0.0)
         follower = SettingsFollower(SettingsState(""), client, lambda _: None, settings=pace)
--- a/src/beryljunction/bench/slopes/rig.py
+++ b/src/beryljunction/bench/slopes/rig.py
@@ -23,7 +23,7 @@
 from beryljunction.errors import StartError
 from beryljunction.local.demo_view import DEMO_REGION, DEMO_ZONES, settings_by_path
 from beryljunction.local.files import StandInEndpoint, StandInsFile
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
 from beryljunction.stores import HostRow
 
@@ -206,7 +206,7 @@
 async def open_rig(view: ResolvedSettings) -> AsyncIterator[Rig]:
     """Return a rig whose processes end with the block."""
     with tempfile.TemporaryDirectory() as directory:
-        async with client_pool() as pool:
+        async with create_client_pool() as pool:
             rig = Rig(pathlib.Path(directory), pool, view)
             try:
                 yield rig
--- a/src/beryljunction/cli/asking.py
+++ b/src/beryljunction/cli/asking.py
@@ -11,7 +11,7 @@
 
 from beryljunction.errors import PlatformUnavailableError, SettingsError
 from beryljunction.node import OperatorClient
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import load_file
 from beryljunction.settings.schema import OperatorFile
 from beryljunction.stores import HostRow
@@ -77,7 +77,7 @@
     except OSError as error:
         problem = f"authority_path: expected a readable PEM file, got {error}"
         raise SettingsError([problem]) from error
-    async with client_pool() as pool, client_pool(tls) as process_pool:
+    async with create_client_pool() as pool, create_client_pool(tls) as process_pool:
         yield OperatorClient(pool, file.hosts_address, process_pool, file.operator_key)
 
 
--- a/src/beryljunction/cli/platform_entry.py
+++ b/src/beryljunction/cli/platform_entry.py
@@ -4,7 +4,7 @@
 import os
 import sys
 
-from beryljunction.listening import CALLERS_VARIABLE, listen_early
+from beryljunction.listening import EARLY_LISTEN_VARIABLE, open_early_listener
 
 __all__ = ["main"]
 
@@ -16,7 +16,7 @@
     With the garbage collector off they take 160 ms instead of 213 ms. Imported objects are then
     frozen, which excludes them from all later collections.
     """
-    listener = listen_early(os.environ.get(CALLERS_VARIABLE, ""))
+    listener = open_early_listener(os.environ.get(EARLY_LISTEN_VARIABLE, ""))
     gc.disable()
     import anyio
 
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -10,7 +10,7 @@
 from beryljunction.cli.settings_output import EXIT_OK, print_log_down, print_problems
 from beryljunction.errors import PlatformUnavailableError, SettingsError
 from beryljunction.node import OperatorClient
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings.files import load_file
 from beryljunction.settings.operator_session import OperatorSession
 from beryljunction.settings.peers import HttpPeers
@@ -60,7 +60,7 @@
 
     async def run() -> int:
         file = load_file(config, OperatorFile)
-        async with client_pool() as pool, operator_client(file) as client:
+        async with create_client_pool() as pool, operator_client(file) as client:
             log = HttpLogClient(file.log_address, pool)
             session = OperatorSession(log, file.operator, file.key)
             node_peers = HttpPeers(lambda: file.nodes, session.state, pool, file.fleet_key)
--- a/src/beryljunction/connections.py
+++ b/src/beryljunction/connections.py
@@ -16,10 +16,10 @@
 
 from beryljunction.errors import InvariantError
 
-__all__ = ["StreamBackend"]
+__all__ = ["UntimedReadBackend"]
 
 
-class StreamBackend(httpcore.AsyncNetworkBackend):
+class UntimedReadBackend(httpcore.AsyncNetworkBackend):
     """httpcore's anyio backend with streams whose pending reads are cheap."""
 
     def __init__(self) -> None:
--- a/src/beryljunction/engines/peers.py
+++ b/src/beryljunction/engines/peers.py
@@ -7,7 +7,7 @@
 import anyio
 import httpcore
 
-from beryljunction.servers import Receive, Send, read_body, respond
+from beryljunction.servers import Receive, Send, read_body, send_response
 from beryljunction.tables.orders import OrderRow
 from beryljunction.wire import FLEET_KEY_HEADER, decode, encode
 
@@ -87,6 +87,6 @@
     try:
         receive_row(decode(body or b"", OrderRow))
     except ValueError as error:
-        await respond(send, 400, str(error).encode(), content_type=b"text/plain")
+        await send_response(send, 400, str(error).encode(), content_type=b"text/plain")
         return
-    await respond(send, 200, encode(own_row()))
+    await send_response(send, 200, encode(own_row()))
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -17,7 +17,7 @@
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER, ResponseWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Receive, Scope, Send, client_pool, wait_disconnect
+from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stops import Stoppable
 from beryljunction.streams import event_position
@@ -65,7 +65,7 @@
         self.leaving = False
         self._in_flight = 0
         self.membership = MembershipTracker(endpoints)
-        self._pool = client_pool(tls)
+        self._pool = create_client_pool(tls)
         self._sidecars = SidecarClient(
             self._pool,
             self.watches,
@@ -167,7 +167,7 @@
     async def _serve(self, context: RequestContext, receive: Receive) -> None:
         handler = self._handler(context)
         async with anyio.create_task_group() as group:
-            group.start_soon(wait_disconnect, receive, group.cancel_scope)
+            group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
             refusal = await handler(context)
             if refusal is not None:
                 await self._refuse(context.response_writer, refusal)
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -11,7 +11,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Refusal
-from beryljunction.servers import drop_idle
+from beryljunction.servers import close_idle_connections
 from beryljunction.streams import StreamName
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import Endpoint, Stamp
@@ -129,7 +129,7 @@
 
     async def close_idle_connections(self, endpoint: Endpoint) -> None:
         """Close the idle connections to a sidecar after one connection to it failed."""
-        await drop_idle(self._pool, f"http://{endpoint.address}")
+        await close_idle_connections(self._pool, f"http://{endpoint.address}")
 
     def deprioritize(self, endpoint: Endpoint) -> None:
         """Try a leaving endpoint only as the last candidate for the next few seconds.
--- a/src/beryljunction/entry/writers.py
+++ b/src/beryljunction/entry/writers.py
@@ -3,7 +3,7 @@
 import attrs
 
 from beryljunction.outcomes import Refusal, RefusalCode
-from beryljunction.servers import Send, respond
+from beryljunction.servers import Send, send_response
 from beryljunction.streams import StreamName, error_event
 from beryljunction.wire import REQUEST_ID_HEADER, STREAM_HEADER, encode_refusal
 
@@ -59,7 +59,7 @@
         if refusal.retry_after_s is not None:
             headers.append((b"retry-after", b"%d" % max(1, round(refusal.retry_after_s))))
         status = _STATUS_BY_CODE.get(refusal.code, _DEFAULT_STATUS)
-        await respond(self._send, status, body, headers)
+        await send_response(self._send, status, body, headers)
         self.complete = True
 
     async def send_response(
@@ -74,7 +74,7 @@
 
     async def send_json(self, body: bytes) -> None:
         """Send a JSON response that the entry itself produced."""
-        await respond(self._send, 200, body, self._entry_headers())
+        await send_response(self._send, 200, body, self._entry_headers())
         self.complete = True
 
     async def start_stream(self, name: StreamName) -> None:
--- a/src/beryljunction/listening.py
+++ b/src/beryljunction/listening.py
@@ -2,11 +2,11 @@
 
 import socket
 
-__all__ = ["CALLERS_VARIABLE", "listen_early", "open_listener"]
+__all__ = ["EARLY_LISTEN_VARIABLE", "open_early_listener", "open_listener"]
 
 # The deployment passes the address for callers in this variable, because importing the modules that
 # read the settings file takes longer than opening the socket.
-CALLERS_VARIABLE = "BERYL_CALLERS"
+EARLY_LISTEN_VARIABLE = "BERYL_CALLERS"
 # Connections that wait to be accepted; a burst of callers after a start is a few hundred.
 _BACKLOG = 1_024
 
@@ -28,7 +28,7 @@
     return listener
 
 
-def listen_early(text: str) -> socket.socket | None:
+def open_early_listener(text: str) -> socket.socket | None:
     """Return a socket listening on IP:PORT; None on failure, which the regular start reports.
 
     After a power loss of all hosts, callers retry within a second. Their connections are refused
--- a/src/beryljunction/local/demo.py
+++ b/src/beryljunction/local/demo.py
@@ -12,7 +12,7 @@
 
 from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
 from beryljunction.local.fleet import LocalFleet
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 
 __all__ = ["DemoResult", "print_demo", "run_demo"]
 
@@ -90,7 +90,7 @@
 async def run_demo() -> DemoResult:
     """Start a fleet and send requests to it while endpoints are shut down and replaced."""
     result = DemoResult()
-    async with anyio.create_task_group() as group, client_pool() as pool:
+    async with anyio.create_task_group() as group, create_client_pool() as pool:
         fleet = LocalFleet(group, demo_view())
         for service in fleet.view.services:
             for number in range(_ENDPOINTS_PER_SERVICE):
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -17,7 +17,7 @@
 )
 from beryljunction.local.standins import start_endpoint
 from beryljunction.node import FleetProcess
-from beryljunction.servers import Asgi, Server, bind
+from beryljunction.servers import Asgi, Server, bind_listener
 from beryljunction.settings import (
     EntryFile,
     ProcessSettings,
@@ -192,6 +192,6 @@
 
     async def _platform_url(self, name: str, app: Asgi) -> str:
         if name not in self._platform_servers:
-            server = self._platform_servers[name] = Server(app, bind(_EPHEMERAL_ADDRESS))
-            await self._group.start(server.run_until_stopped)
+            server = self._platform_servers[name] = Server(app, bind_listener(_EPHEMERAL_ADDRESS))
+            await self._group.start(server.serve_until_stopped)
         return f"http://{self._platform_servers[name].address}"
--- a/src/beryljunction/local/platform.py
+++ b/src/beryljunction/local/platform.py
@@ -10,7 +10,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.platform import DeploymentBounds, HostSettings
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import PlatformEndpointStandIn, PlatformStoreStandIn
 
 __all__ = ["LocalPlatformFleet", "run_interactive_platform"]
@@ -71,8 +71,8 @@
         self.store.model.put(topic, key, value, time.monotonic())
 
     async def _listen(self, app: PlatformStoreStandIn | PlatformEndpointStandIn) -> tuple[str, int]:
-        server = Server(app, bind("127.0.0.1:0"))
-        await self._group.start(server.run_until_stopped)
+        server = Server(app, bind_listener("127.0.0.1:0"))
+        await self._group.start(server.serve_until_stopped)
         host, _, port = server.address.rpartition(":")
         return host, int(port)
 
@@ -90,7 +90,7 @@
 
 
 def _free_address() -> tuple[str, int]:
-    listener = bind("127.0.0.1:0")
+    listener = bind_listener("127.0.0.1:0")
     address = listener.getsockname()[:2]
     listener.close()
     return str(address[0]), int(address[1])
--- a/src/beryljunction/local/standins.py
+++ b/src/beryljunction/local/standins.py
@@ -8,7 +8,7 @@
 
 from beryljunction.local.demo_view import publish_settings
 from beryljunction.local.files import StandInsFile
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import (
     EngineStandIn,
     HostListStandIn,
@@ -31,8 +31,8 @@
     if isinstance(app, EngineStandIn):
         app.orders.models = dict.fromkeys(models, "")
         await group.start(app.run)
-    server = Server(app, bind(listen))
-    await group.start(server.run_until_stopped)
+    server = Server(app, bind_listener(listen))
+    await group.start(server.serve_until_stopped)
     return app, server
 
 
@@ -42,12 +42,12 @@
         hosts = HostListStandIn()
         for row in file.hosts:
             hosts.put(row)
-        server = Server(hosts, bind(file.hosts_listen))
-        await group.start(server.run_until_stopped)
+        server = Server(hosts, bind_listener(file.hosts_listen))
+        await group.start(server.serve_until_stopped)
         log = LogModel()
         await publish_settings(ModelLogClient(log), file.settings)
-        log_server = Server(LogStandIn(log), bind(file.log_listen))
-        await group.start(log_server.run_until_stopped)
+        log_server = Server(LogStandIn(log), bind_listener(file.log_listen))
+        await group.start(log_server.serve_until_stopped)
         for endpoint in file.endpoints:
             await start_endpoint(group, endpoint.kind, endpoint.listen, endpoint.models)
         print("stand-ins are up", flush=True)
--- a/src/beryljunction/node/front.py
+++ b/src/beryljunction/node/front.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Asgi, Receive, Scope, Send, respond
+from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.wire import FLEET_KEY_HEADER, encode_refusal
 
 __all__ = ["ControlMiddleware"]
@@ -49,14 +49,14 @@
             await self._answer_counted(route, scope, receive, send)
         else:
             refusal = Refusal(RefusalCode.UNAUTHENTICATED, "expected the fleet's key", Ran.NO)
-            await respond(send, 401, encode_refusal(refusal, ""))
+            await send_response(send, 401, encode_refusal(refusal, ""))
 
     async def _forward_to_role(self, scope: Scope, receive: Receive, send: Send) -> None:
         refusal = self._refusal()
         if refusal is None:
             await self._app(scope, receive, send)
         else:
-            await respond(send, 503, encode_refusal(refusal, ""), [(b"retry-after", b"1")])
+            await send_response(send, 503, encode_refusal(refusal, ""), [(b"retry-after", b"1")])
 
     async def _answer_counted(
         self, route: Asgi, scope: Scope, receive: Receive, send: Send
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -15,7 +15,7 @@
 from beryljunction.metrics import Metrics
 from beryljunction.operators import EVENTS_PATH, STATUS_PATH, NodeStatus, shows_key
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Asgi, Receive, Scope, Send, respond
+from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.settings import ProcessSettings
 from beryljunction.timeline import HLC_HEADER, Timeline
 from beryljunction.wire import DRAIN_PATH, Drain, decode, encode, encode_refusal
@@ -51,7 +51,9 @@
             return
         message = "expected an operator's key as 'Authorization: Bearer KEY'"
         refusal = Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
-        await respond(send, 401, encode_refusal(refusal, ""), [(b"www-authenticate", b"Bearer")])
+        await send_response(
+            send, 401, encode_refusal(refusal, ""), [(b"www-authenticate", b"Bearer")]
+        )
 
     def _has_operator_key(self, scope: Scope) -> bool:
         given: bytes = dict(scope["headers"]).get(b"authorization", b"")
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -23,7 +23,15 @@
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.operators import NodeStatus
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Asgi, Receive, Scope, Send, Server, bind, client_pool
+from beryljunction.servers import (
+    Asgi,
+    Receive,
+    Scope,
+    Send,
+    Server,
+    bind_listener,
+    create_client_pool,
+)
 from beryljunction.settings import (
     SETTINGS_PATH,
     Alarms,
@@ -83,11 +91,13 @@
         self.host_list_watcher = HostListWatcher(hosts, role.update_hosts, role.timeline)
         self._follower = self._settings_follower(process)
         server_tls = self._tls.server if self._tls is not None else None
-        self.request_server = Server(self._request_app(process), bind(process.listen), server_tls)
+        self.request_server = Server(
+            self._request_app(process), bind_listener(process.listen), server_tls
+        )
         operator = operator_app(role.timeline, self.metrics, self.status, self.drain)
         guarded = OperatorKeyMiddleware(operator, operator_key_digests(process))
         operator_tls = self._tls.operator if self._tls is not None else None
-        self.operator_server = Server(guarded, bind(process.operator_listen), operator_tls)
+        self.operator_server = Server(guarded, bind_listener(process.operator_listen), operator_tls)
         self._add_gauges()
 
     @classmethod
@@ -133,7 +143,7 @@
         """Run until stopped; the operator listener stays up to the end to observe the stop."""
         try:
             async with anyio.create_task_group() as background:
-                await background.start(self.operator_server.run_until_stopped)
+                await background.start(self.operator_server.serve_until_stopped)
                 await background.start(self._hold_pools_open)
                 await background.start(self.role.run)
                 self._start_followers(background)
@@ -160,7 +170,7 @@
 
     async def _serve(self, task_status: Any) -> None:
         async with anyio.create_task_group() as serving:
-            await serving.start(self.request_server.run_until_stopped)
+            await serving.start(self.request_server.serve_until_stopped)
             self.role.timeline.add("serving", detail=self.request_server.address)
             task_status.started()
             await self._stopping.wait()
@@ -196,7 +206,7 @@
     def _pool(self, purpose: str) -> httpcore.AsyncConnectionPool:
         """Return a pool whose traffic counts as control traffic; platform pools have no TLS."""
         backend = CountingBackend(functools.partial(self.metrics.count_control, purpose))
-        return client_pool(self._client_tls if purpose in _FLEET_POOLS else None, backend)
+        return create_client_pool(self._client_tls if purpose in _FLEET_POOLS else None, backend)
 
     @property
     def _client_tls(self) -> ssl.SSLContext | None:
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -16,7 +16,7 @@
 )
 from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
 from beryljunction.operators import NodeStatus
-from beryljunction.servers import Receive, Scope, Send, client_pool
+from beryljunction.servers import Receive, Scope, Send, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
 from beryljunction.sidecar.peers import LoadExchange
@@ -72,7 +72,7 @@
             context.settings_version,
             context.on_newer_settings,
         )
-        self._engine_pool = client_pool()
+        self._engine_pool = create_client_pool()
         self.order_runner = self._create_reconcile_loop(context)
         self.routes = {PEERS_PATH: self.peer_exchange, ORDERS_PATH: self._answer_orders}
 
--- a/src/beryljunction/servers/__init__.py
+++ b/src/beryljunction/servers/__init__.py
@@ -5,12 +5,12 @@
     Receive,
     Scope,
     Send,
+    cancel_on_disconnect,
     read_body,
-    respond,
-    wait_disconnect,
+    send_response,
 )
-from beryljunction.servers.listeners import Server, bind
-from beryljunction.servers.pools import client_pool, drop_idle
+from beryljunction.servers.listeners import Server, bind_listener
+from beryljunction.servers.pools import close_idle_connections, create_client_pool
 
 __all__ = [
     "Asgi",
@@ -18,10 +18,10 @@
     "Scope",
     "Send",
     "Server",
-    "bind",
-    "client_pool",
-    "drop_idle",
+    "bind_listener",
+    "create_client_pool",
+    "close_idle_connections",
     "read_body",
-    "respond",
-    "wait_disconnect",
+    "send_response",
+    "cancel_on_disconnect",
 ]
--- a/src/beryljunction/servers/asgi.py
+++ b/src/beryljunction/servers/asgi.py
@@ -11,8 +11,8 @@
     "Scope",
     "Send",
     "read_body",
-    "respond",
-    "wait_disconnect",
+    "send_response",
+    "cancel_on_disconnect",
 ]
 
 Scope = MutableMapping[str, Any]
@@ -34,14 +34,14 @@
     return None
 
 
-async def wait_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
+async def cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     """Cancel a scope when the client disconnects."""
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
 
 
-async def respond(
+async def send_response(
     send: Send,
     status: int,
     body: bytes,
--- a/src/beryljunction/servers/listeners.py
+++ b/src/beryljunction/servers/listeners.py
@@ -15,7 +15,7 @@
 from beryljunction.errors import StartError
 from beryljunction.servers.asgi import Asgi
 
-__all__ = ["Server", "bind"]
+__all__ = ["Server", "bind_listener"]
 
 # Longer than the 30 s of a client pool (``pools.py``). A server that closes idle connections
 # before its clients do could drop a request in transit, and the caller would get "unknown"
@@ -30,7 +30,7 @@
 _MAX_HEAD_BYTES = 262_144
 
 
-def bind(address: str) -> socket.socket:
+def bind_listener(address: str) -> socket.socket:
     """Return a listening socket bound to "ip:port"; port 0 selects a free port.
 
     Raises:
@@ -130,7 +130,7 @@
         host, port = self.listener.getsockname()[:2]
         return f"{host}:{port}"
 
-    async def run_until_stopped(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
+    async def serve_until_stopped(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until :meth:`stop`, then finish the requests in flight, without a time limit."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.serve, [self.listener])
--- a/src/beryljunction/servers/pools.py
+++ b/src/beryljunction/servers/pools.py
@@ -4,9 +4,9 @@
 
 import httpcore
 
-from beryljunction.connections import StreamBackend
+from beryljunction.connections import UntimedReadBackend
 
-__all__ = ["client_pool", "drop_idle"]
+__all__ = ["create_client_pool", "close_idle_connections"]
 
 _MAX_CONNECTIONS = 4096
 _KEEPALIVE_EXPIRY_S = 30.0
@@ -20,7 +20,7 @@
         return await super().handle_async_request(request)
 
 
-def client_pool(
+def create_client_pool(
     tls: ssl.SSLContext | None = None, backend: httpcore.AsyncNetworkBackend | None = None
 ) -> httpcore.AsyncConnectionPool:
     """Return a pool for calls to other processes; it doesn't retry, since its users do.
@@ -30,7 +30,7 @@
     kind = httpcore.AsyncConnectionPool if tls is None else _TlsPool
     return kind(
         ssl_context=tls,
-        network_backend=backend if backend is not None else StreamBackend(),
+        network_backend=backend if backend is not None else UntimedReadBackend(),
         max_connections=_MAX_CONNECTIONS,
         max_keepalive_connections=_MAX_CONNECTIONS,
         keepalive_expiry=_KEEPALIVE_EXPIRY_S,
@@ -38,7 +38,7 @@
     )
 
 
-async def drop_idle(pool: httpcore.AsyncConnectionPool, base_url: str) -> None:
+async def close_idle_connections(pool: httpcore.AsyncConnectionPool, base_url: str) -> None:
     """Close a pool's idle connections to a server after one connection has stopped responding.
 
     A peer that lost the state of one connection has usually lost it for all open ones. A retry on
--- a/src/beryljunction/settings/peers.py
+++ b/src/beryljunction/settings/peers.py
@@ -9,7 +9,7 @@
 import anyio
 import httpcore
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 from beryljunction.settings.follower import PeerSource
 from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.settings.state import SettingsState
@@ -40,13 +40,13 @@
     """
     if scope["method"] == "PUT":
         _apply_pushed_tree(apply_snapshot, await read_body(receive, _MAX_TREE_BYTES))
-        await respond(send, 204, b"")
+        await send_response(send, 204, b"")
         return
     fields = parse_qs(scope["query_string"].decode("latin-1"))
     after = int(fields.get("after", ["0"])[0])
     headers = [(_VERSION_HEADER, f"{state.version} {state.digest}".encode())]
     if state.version > after:
-        await respond(send, 200, json.dumps(state.tree.to_data()).encode(), headers)
+        await send_response(send, 200, json.dumps(state.tree.to_data()).encode(), headers)
     else:
         await send({"type": "http.response.start", "status": 204, "headers": headers})
         await send({"type": "http.response.body"})
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -12,7 +12,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Receive, Scope, Send, client_pool, read_body
+from beryljunction.servers import Receive, Scope, Send, create_client_pool, read_body
 from beryljunction.settings import ResolvedSettings, SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
 from beryljunction.sidecar.control import ControlRoutes
@@ -77,9 +77,9 @@
         self.admission = self.run_manager.admission
         self.runs = self.run_manager.runs
         self._fleet_key = file.process.fleet_key.encode()
-        self._own_pool = client_pool(tls)
+        self._own_pool = create_client_pool(tls)
         self._fleet_pool = fleet if fleet is not None else self._own_pool
-        self._log_pool = client_pool()
+        self._log_pool = create_client_pool()
         address = file.process.log_address
         log = HttpLogClient(address, self._log_pool) if address else None
         keys = KeyClaims(log, self.incarnation, file.process.log_retention_s)
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -7,7 +7,7 @@
 import httpcore
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import drop_idle
+from beryljunction.servers import close_idle_connections
 from beryljunction.sidecar.runs import Run
 from beryljunction.streams import FrameCutter, FrameNumberer, StreamName
 from beryljunction.systems import SpeedMeter
@@ -161,7 +161,7 @@
         failures = 0
         while not numberer.done and failures < _MAX_RESUME_FAILURES:
             sequence_before = numberer.sequence
-            await drop_idle(self._pool, self._address)
+            await close_idle_connections(self._pool, self._address)
             await anyio.sleep(_BACKOFF_S * failures)
             if not await self._resume_once(run, numberer):
                 return
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -8,7 +8,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar.endpoint import EndpointClient
 from beryljunction.sidecar.kv import KvClient
@@ -89,7 +89,7 @@
         self._incarnation = incarnation
         self._timeline = timeline
         self._ledger = RunTickets(self.tickets)
-        self._pool = client_pool()
+        self._pool = create_client_pool()
         speed = self.admission.load.speed
         self._endpoint = EndpointClient(self._pool, self.watches, file.endpoint_address, speed)
         self.kv = KvClient(self._pool, file.endpoint_address)
--- a/src/beryljunction/sidecar/peers.py
+++ b/src/beryljunction/sidecar/peers.py
@@ -13,7 +13,7 @@
 import anyio
 import httpcore
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 from beryljunction.settings.peer_rotation import PeerRotation
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import FLEET_KEY_HEADER, PEERS_PATH, decode_load_rows, encode_load_rows
@@ -104,7 +104,7 @@
         try:
             rows = decode_load_rows(body or b"")
         except ValueError as error:
-            await respond(send, 400, str(error).encode(), content_type=b"text/plain")
+            await send_response(send, 400, str(error).encode(), content_type=b"text/plain")
             return
         self._load.merge(rows, self._now_s())
         if rows:
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -11,7 +11,7 @@
 import attrs
 
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.servers import Receive, wait_disconnect
+from beryljunction.servers import Receive, cancel_on_disconnect
 from beryljunction.sidecar.runs import Reader, Run
 from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.streams import HEARTBEAT, StreamName, error_event
@@ -53,7 +53,7 @@
         reader = Reader(read_request.request_id, group.cancel_scope)
         run.add_reader(reader, read_request.exclusive)
         try:
-            group.start_soon(wait_disconnect, receive, group.cancel_scope)
+            group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
             await _write_answer(run, reader, name, read_request, writer)
         finally:
             run.remove_reader(reader, time.monotonic())
--- a/src/beryljunction/standins/engine.py
+++ b/src/beryljunction/standins/engine.py
@@ -17,7 +17,14 @@
 import anyio.abc
 
 from beryljunction.errors import InvariantError
-from beryljunction.servers import Receive, Scope, Send, read_body, respond, wait_disconnect
+from beryljunction.servers import (
+    Receive,
+    Scope,
+    Send,
+    cancel_on_disconnect,
+    read_body,
+    send_response,
+)
 from beryljunction.standins.faults import EngineFaults
 from beryljunction.standins.generations import Generation, GenerationTable
 from beryljunction.standins.model import EngineModel
@@ -91,13 +98,13 @@
         elif path == "/v1/load":
             answer = self._load.read()
         else:
-            await respond(send, 404, b"{}")
+            await send_response(send, 404, b"{}")
             return
-        await respond(send, 200, json.dumps(answer).encode())
+        await send_response(send, 200, json.dumps(answer).encode())
 
     async def _complete(self, scope: Scope, body: bytes, receive: Receive, send: Send) -> None:
         if self._strikes(self.faults.refuse_ratio):
-            await respond(send, 503, b'{"error": "refused by a switched fault"}')
+            await send_response(send, 503, b'{"error": "refused by a switched fault"}')
             return
         data = json.loads(body)
         headers = dict(scope["headers"])
@@ -126,7 +133,7 @@
         """Write to one reader until it hangs up; cancel an answer that nobody reads any more."""
         generation.readers += 1
         async with anyio.create_task_group() as group:
-            group.start_soon(wait_disconnect, receive, group.cancel_scope)
+            group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
             await write()
             group.cancel_scope.cancel()
         generation.readers -= 1
@@ -162,11 +169,11 @@
     async def _send_whole(self, generation: Generation, send: Send) -> None:
         await generation.wait_done()
         if generation.scope.cancel_called:
-            await respond(send, 499, b'{"error": "cancelled"}')
+            await send_response(send, 499, b'{"error": "cancelled"}')
             return
         message = {"role": "assistant", "content": "".join(generation.words)}
         answer = {"choices": [{"index": 0, "message": message}], "usage": generation.usage}
-        await respond(send, 200, json.dumps(answer).encode())
+        await send_response(send, 200, json.dumps(answer).encode())
 
     async def _send_frames(
         self, generation: Generation, after: int, send: Send, fault: str = ""
@@ -193,10 +200,10 @@
     async def _resume(self, request_id: str, after: int, receive: Receive, send: Send) -> None:
         generation = self._generations.get(request_id)
         if generation is None:
-            await respond(send, 404, b'{"error": "no such stream"}')
+            await send_response(send, 404, b'{"error": "no such stream"}')
             return
         if generation.scope.cancel_called:
-            await respond(send, 410, b'{"error": "cancelled"}')
+            await send_response(send, 410, b'{"error": "cancelled"}')
             return
         write = functools.partial(self._send_frames, generation, after, send)
         await self._attend(generation, receive, write)
--- a/src/beryljunction/standins/hosts.py
+++ b/src/beryljunction/standins/hosts.py
@@ -8,7 +8,14 @@
 import anyio
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond, wait_disconnect
+from beryljunction.servers import (
+    Receive,
+    Scope,
+    Send,
+    cancel_on_disconnect,
+    read_body,
+    send_response,
+)
 from beryljunction.standins.faults import HostListFaults
 from beryljunction.stores.hosts import HOSTS_PATH, HostChanges, HostRow
 from beryljunction.wire import decode, encode
@@ -99,20 +106,20 @@
         if body is None:
             return
         if self.faults.outage:
-            await respond(send, 503, b"{}")
+            await send_response(send, 503, b"{}")
         elif path == HOSTS_PATH and scope["method"] == "GET":
             async with anyio.create_task_group() as group:
-                group.start_soon(wait_disconnect, receive, group.cancel_scope)
+                group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
                 await self._read(scope, send)
                 group.cancel_scope.cancel()
         elif path == HOSTS_PATH and scope["method"] == "PUT":
             self.put(decode(body, HostRow))
-            await respond(send, 200, b"{}")
+            await send_response(send, 200, b"{}")
         elif path.startswith(f"{HOSTS_PATH}/") and scope["method"] == "DELETE":
             self.remove(path.removeprefix(f"{HOSTS_PATH}/"))
-            await respond(send, 200, b"{}")
+            await send_response(send, 200, b"{}")
         else:
-            await respond(send, 404, json.dumps({"error": f"no such path {path}"}).encode())
+            await send_response(send, 404, json.dumps({"error": f"no such path {path}"}).encode())
 
     async def _read(self, scope: Scope, send: Send) -> None:
         query = parse_qs(scope["query_string"].decode("latin-1"))
@@ -123,4 +130,4 @@
             if changes.version != after or changes.full or self._now_s() >= until_s:
                 break
             await anyio.sleep(_POLL_S)
-        await respond(send, 200, encode(changes))
+        await send_response(send, 200, encode(changes))
--- a/src/beryljunction/standins/log.py
+++ b/src/beryljunction/standins/log.py
@@ -12,7 +12,14 @@
 import anyio
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond, wait_disconnect
+from beryljunction.servers import (
+    Receive,
+    Scope,
+    Send,
+    cancel_on_disconnect,
+    read_body,
+    send_response,
+)
 from beryljunction.stores.log import (
     Appended,
     AppendOutcome,
@@ -143,12 +150,12 @@
         match = _PATH.fullmatch(scope["path"])
         body = await read_body(receive, _BODY_BYTES)
         if match is None or body is None:
-            await respond(send, 404, b"{}")
+            await send_response(send, 404, b"{}")
         elif scope["method"] == "POST":
             await self._append(match[1], body, send)
         else:
             async with anyio.create_task_group() as group:
-                group.start_soon(wait_disconnect, receive, group.cancel_scope)
+                group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
                 await self._read(match[1], scope["query_string"].decode(), send)
                 group.cancel_scope.cancel()
 
@@ -156,12 +163,12 @@
         record = json.loads(body)
         outcome = await self._client.append(stream, record["id"], record["data"])
         if isinstance(outcome, Appended):
-            await respond(send, 200, json.dumps({"offset": outcome.offset}).encode())
+            await send_response(send, 200, json.dumps({"offset": outcome.offset}).encode())
         elif isinstance(outcome, AppendRefused):
             headers = [(b"retry-after", str(outcome.retry_after_s).encode())]
-            await respond(send, 429, b"{}", headers)
+            await send_response(send, 429, b"{}", headers)
         else:
-            await respond(send, 503, b"{}")
+            await send_response(send, 503, b"{}")
 
     async def _read(self, stream: str, query: str, send: Send) -> None:
         fields = {name: values[0] for name, values in parse_qs(query).items()}
@@ -169,8 +176,10 @@
             stream, int(fields["after"]), int(fields["limit"]), float(fields.get("wait_s", 0))
         )
         if isinstance(page, ReadFailed):
-            await respond(send, 503, b"{}")
+            await send_response(send, 503, b"{}")
             return
         rows = [{"offset": r.offset, "id": r.record_id, "data": r.data} for r in page.records]
         answer = {"records": rows, "first_offset": page.first_offset}
-        await respond(send, 200, json.dumps({**answer, "next_offset": page.next_offset}).encode())
+        await send_response(
+            send, 200, json.dumps({**answer, "next_offset": page.next_offset}).encode()
+        )
--- a/src/beryljunction/standins/orders.py
+++ b/src/beryljunction/standins/orders.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 from beryljunction.standins.weights import WeightStoreModel
 from beryljunction.systems.recovery.orders import Order
 from beryljunction.tables.orders import EngineState
@@ -107,9 +107,9 @@
     body = await read_body(receive, _BODY_BYTES)
     if scope["method"] == "GET":
         state = attrs.asdict(model.state(now_s), filter=lambda _, value: value is not None)
-        await respond(send, 200, json.dumps(state).encode())
+        await send_response(send, 200, json.dumps(state).encode())
         return
     fields = json.loads(body or b"{}")
     taken = model.order(Order(**{**fields, "adapters": tuple(fields["adapters"])}), now_s)
     answer = json.dumps({"fence": model.fence}).encode()
-    await respond(send, 200 if taken else 409, answer)
+    await send_response(send, 200 if taken else 409, answer)
--- a/src/beryljunction/standins/plain.py
+++ b/src/beryljunction/standins/plain.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 
 __all__ = ["PlainStandIn"]
 
@@ -44,4 +44,4 @@
             "length_bytes": len(body),
             "times": self.times[digest],
         }
-        await respond(send, 200, json.dumps(answer).encode())
+        await send_response(send, 200, json.dumps(answer).encode())
--- a/src/beryljunction/standins/platform_endpoint.py
+++ b/src/beryljunction/standins/platform_endpoint.py
@@ -6,7 +6,7 @@
 import anyio
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 
 __all__ = ["PlatformEndpointStandIn"]
 
@@ -51,7 +51,7 @@
         request_id = headers.get(b"x-request-id", b"")
         expected = headers.get(b"x-expect-instance", b"").decode()
         if expected not in ("", self.endpoint_id):
-            await respond(send, 421, b"", [(b"x-instance-id", self.endpoint_id.encode())])
+            await send_response(send, 421, b"", [(b"x-instance-id", self.endpoint_id.encode())])
             return
         self.runs.append(request_id.decode())
         self._running += 1
@@ -70,7 +70,7 @@
         ]
         if not self.streams:
             answer = {"endpoint": self.endpoint_id, "read": len(body)}
-            await respond(send, 200, json.dumps(answer).encode(), own)
+            await send_response(send, 200, json.dumps(answer).encode(), own)
             return
         start = int(headers.get(b"last-event-id", b"0")) + 1
         head = [(b"content-type", b"text/event-stream"), *own]
--- a/src/beryljunction/standins/platform_store.py
+++ b/src/beryljunction/standins/platform_store.py
@@ -13,7 +13,14 @@
 import anyio
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond, wait_disconnect
+from beryljunction.servers import (
+    Receive,
+    Scope,
+    Send,
+    cancel_on_disconnect,
+    read_body,
+    send_response,
+)
 
 __all__ = [
     "Gone",
@@ -195,7 +202,7 @@
         self.calls[path] += 1
         query = {key: row[0] for key, row in parse_qs(scope["query_string"].decode()).items()}
         if self.faults.silent:
-            await wait_disconnect(receive, anyio.CancelScope())
+            await cancel_on_disconnect(receive, anyio.CancelScope())
             return
         client = (scope.get("client") or ("",))[0]
         if self.faults.busy or client in self.faults.refused_hosts:
@@ -203,7 +210,7 @@
             return
         is_lost = self._random.random() < self.faults.lost_ratio
         async with anyio.create_task_group() as group:
-            group.start_soon(wait_disconnect, receive, group.cancel_scope)
+            group.start_soon(cancel_on_disconnect, receive, group.cancel_scope)
             status, answer = await self._answer(path, query, body or b"")
             if is_lost:
                 await anyio.sleep_forever()
@@ -211,7 +218,7 @@
             group.cancel_scope.cancel()
 
     async def _respond(self, send: Send, status: int, answer: bytes) -> None:
-        await respond(send, status, answer, [(b"store-era", b"%d" % self.model.era)])
+        await send_response(send, status, answer, [(b"store-era", b"%d" % self.model.era)])
 
     async def _answer(self, path: str, query: dict[str, str], body: bytes) -> tuple[int, bytes]:
         if path == "log-read":
--- a/src/beryljunction/standins/weights.py
+++ b/src/beryljunction/standins/weights.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from beryljunction.servers import Receive, Scope, Send, read_body, respond
+from beryljunction.servers import Receive, Scope, Send, read_body, send_response
 
 __all__ = ["WeightStandIn", "WeightStoreModel"]
 
@@ -71,10 +71,10 @@
         if scope["method"] == "POST":
             begun = self.model.begin(json.loads(body)["name"], time.monotonic())
             status = 429 if begun is None else 201
-            await respond(send, status, json.dumps({"load_id": begun}).encode())
+            await send_response(send, status, json.dumps({"load_id": begun}).encode())
         elif scope["method"] == "DELETE":
             self.model.cancel(load_id)
-            await respond(send, 204, b"")
+            await send_response(send, 204, b"")
         else:
             done = self.model.is_done(load_id, time.monotonic())
-            await respond(send, 200, json.dumps({"done": done}).encode())
+            await send_response(send, 200, json.dumps({"done": done}).encode())
--- a/testing/entry_harness.py
+++ b/testing/entry_harness.py
@@ -14,7 +14,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
 from beryljunction.platform import DeploymentBounds, HostSettings
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import PlatformStoreStandIn
 from ports import free_ports
 
@@ -173,8 +173,8 @@
         self.host = None
 
     async def start_store(self):
-        server = Server(self.store, bind("127.0.0.1:0"))
-        await self.group.start(server.run_until_stopped)
+        server = Server(self.store, bind_listener("127.0.0.1:0"))
+        await self.group.start(server.serve_until_stopped)
         self.store_address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
 
     def configure(self, *routes, tenants=None, **fields):
--- a/testing/path_fakes.py
+++ b/testing/path_fakes.py
@@ -8,7 +8,13 @@
 import attrs
 
 from beryljunction.entry import EntryApp
-from beryljunction.servers import Server, bind, client_pool, read_body, respond
+from beryljunction.servers import (
+    Server,
+    bind_listener,
+    create_client_pool,
+    read_body,
+    send_response,
+)
 from beryljunction.settings import (
     AccountSettings,
     EntryFile,
@@ -70,11 +76,11 @@
         self.calls.append((scope["method"], path, dict(scope["headers"]), body))
         if path == "/v1/cancel":
             self.cancelled.append(json.loads(body)["request_id"])
-            await respond(send, 200, b"{}")
+            await send_response(send, 200, b"{}")
         elif path.startswith("/v1/streams/"):
             after = int(scope["query_string"].removeprefix(b"after="))
             known = self.resumes and path.removeprefix("/v1/streams/") in self.runs
-            await (self._stream(send, after) if known else respond(send, 404, b"{}"))
+            await (self._stream(send, after) if known else send_response(send, 404, b"{}"))
         else:
             self.runs.append(dict(scope["headers"])[b"x-request-id"].decode())
             await self._answer(json.loads(body) if body[:1] == b"{" else {}, send)
@@ -85,7 +91,7 @@
             return
         if self.hold_at is not None:
             await self.release.wait()
-        await respond(send, self.status, b'{"whole": true}', [(b"x-own", b"kept")])
+        await send_response(send, self.status, b'{"whole": true}', [(b"x-own", b"kept")])
 
     async def _stream(self, send, after):
         headers = [(b"content-type", b"text/event-stream")]
@@ -164,9 +170,9 @@
         self.log_address = ""
 
     async def serve(self, app) -> str:
-        server = Server(app, bind(FREE_PORT))
+        server = Server(app, bind_listener(FREE_PORT))
         self.servers.append(server)
-        await self.group.start(server.run_until_stopped)
+        await self.group.start(server.serve_until_stopped)
         return server.address
 
     async def sidecar(self, endpoint, service="drafter", *, address=None, proxy=False):
@@ -233,7 +239,7 @@
 @contextlib.asynccontextmanager
 async def path_of(view=None):
     """Yield a path without processes; stop everything when the block ends."""
-    async with anyio.create_task_group() as group, client_pool() as pool:
+    async with anyio.create_task_group() as group, create_client_pool() as pool:
         with anyio.fail_after(30):
             yield Path(group, pool, view or view_with())
         group.cancel_scope.cancel()
--- a/testing/test_connections.py
+++ b/testing/test_connections.py
@@ -5,7 +5,7 @@
 import httpcore
 import pytest
 
-from beryljunction.connections import StreamBackend
+from beryljunction.connections import UntimedReadBackend
 
 pytestmark = pytest.mark.anyio
 
@@ -24,7 +24,7 @@
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             group.start_soon(listener.serve, serve)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-            return await StreamBackend().connect_tcp("127.0.0.1", port)
+            return await UntimedReadBackend().connect_tcp("127.0.0.1", port)
 
         yield connect_to
         group.cancel_scope.cancel()
@@ -64,4 +64,4 @@
 
     async def test_refused_connection_raises_httpcore_error(self):
         with pytest.raises(httpcore.ConnectError):
-            await StreamBackend().connect_tcp("127.0.0.1", 1)
+            await UntimedReadBackend().connect_tcp("127.0.0.1", 1)
--- a/testing/test_engine_standin.py
+++ b/testing/test_engine_standin.py
@@ -5,7 +5,7 @@
 import httpcore
 import pytest
 
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.standins import CacheChange, EngineFaults, EngineModel, EngineStandIn
 from beryljunction.standins.reports import CacheEventFeed, LoadReport
 from beryljunction.standins.slots import BatchSlots
@@ -38,10 +38,10 @@
 
 @contextlib.asynccontextmanager
 async def serving(engine):
-    async with anyio.create_task_group() as group, client_pool() as pool:
+    async with anyio.create_task_group() as group, create_client_pool() as pool:
         await group.start(engine.run)
-        server = Server(engine, bind("127.0.0.1:0"))
-        await group.start(server.run_until_stopped)
+        server = Server(engine, bind_listener("127.0.0.1:0"))
+        await group.start(server.serve_until_stopped)
         yield Client(pool, server.address)
         group.cancel_scope.cancel()
 
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -19,7 +19,7 @@
 from beryljunction.platform import DeploymentBounds, HostSettings, Record, Unavailable, WriteOutcome
 from beryljunction.platform.store import Store
 from beryljunction.routing import PeerTable, should_ask_peers
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import PlatformStoreStandIn
 from entry_harness import CapturedLog, open_harness, route
 
@@ -214,8 +214,8 @@
 async def start_pair(harness):
     addresses = [("127.0.0.1", next(harness.ports)) for _ in range(4)]
     store = PlatformStoreStandIn(harness.store.model)
-    server = Server(store, bind("127.0.0.1:0"))
-    await harness.group.start(server.run_until_stopped)
+    server = Server(store, bind_listener("127.0.0.1:0"))
+    await harness.group.start(server.serve_until_stopped)
     store_address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
     host = attrs.evolve(
         harness.host,
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from beryljunction.servers import respond
+from beryljunction.servers import send_response
 from beryljunction.standins import EngineModel, EngineStandIn
 from beryljunction.stops import GracefulStop
 from beryljunction.systems import (
@@ -130,7 +130,7 @@
         if path == self.hangs:
             await anyio.sleep_forever()
         if self.invalid_answer and path in (EXPORT, IMPORT):
-            await respond(send, 200, self.invalid_answer)
+            await send_response(send, 200, self.invalid_answer)
             return
         if path == self.breaks:
             head = [(b"content-length", b"100")]
--- a/testing/test_hosts.py
+++ b/testing/test_hosts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from beryljunction.errors import PlatformUnavailableError
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.standins import HostListFaults, HostListModel, HostListStandIn
 from beryljunction.stores import HostRow, HttpHostList
 
@@ -45,9 +45,9 @@
     def test_reads_rows_over_http_and_reports_an_outage(self):
         async def run():
             standin = HostListStandIn()
-            async with anyio.create_task_group() as group, client_pool() as pool:
-                server = Server(standin, bind("127.0.0.1:0"))
-                await group.start(server.run_until_stopped)
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
+                server = Server(standin, bind_listener("127.0.0.1:0"))
+                await group.start(server.serve_until_stopped)
                 hosts = HttpHostList(pool, f"http://{server.address}")
                 standin.put(ROW)
                 changes = await hosts.fetch_changes(0, 5.0)
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beryljunction.local import DEMO_API_KEY, DemoResult, LocalFleet, demo_view
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import TlsSettings
 
 CERTIFICATES = pathlib.Path(__file__).parent / "certificates"
@@ -28,7 +28,7 @@
                 entry = await fleet.add_entry()
                 await fleet.wait_until_ready()
                 caller = ssl.create_default_context(cafile=CERTIFICATES / "fleet-authority.pem")
-                async with client_pool(caller) as pool:
+                async with create_client_pool(caller) as pool:
                     response = await pool.request(
                         "POST", f"{entry}/services/ledger/notes", headers=AUTH, content=b"note"
                     )
@@ -44,7 +44,7 @@
 class TestLocalFleet:
     def test_replaced_endpoint_has_a_new_incarnation_and_receives_requests(self):
         async def run():
-            async with anyio.create_task_group() as group, client_pool() as pool:
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
                 fleet = LocalFleet(group, demo_view())
                 before = await fleet.add_endpoint("ledger-0", "ledger")
                 entry = await fleet.add_entry()
--- a/testing/test_log.py
+++ b/testing/test_log.py
@@ -1,7 +1,7 @@
 import anyio
 import pytest
 
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.standins import LogModel, LogModelSettings, LogStandIn
 from beryljunction.stores import (
     Appended,
@@ -59,9 +59,9 @@
     def test_reads_appended_records_and_returns_outages_as_values(self):
         async def run():
             stand_in = LogStandIn()
-            server = Server(stand_in, bind("127.0.0.1:0"))
-            async with anyio.create_task_group() as group, client_pool() as pool:
-                await group.start(server.run_until_stopped)
+            server = Server(stand_in, bind_listener("127.0.0.1:0"))
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
+                await group.start(server.serve_until_stopped)
                 client = HttpLogClient(f"http://{server.address}", pool)
                 appended = await client.append("settings", "x", {"a": [1]})
                 page = await client.read("settings", 0)
--- a/testing/test_node.py
+++ b/testing/test_node.py
@@ -26,7 +26,7 @@
     write_process_files,
 )
 from beryljunction.node import EntryRole, HostListCache, HostListWatcher, RoleContext, SidecarRole
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 from beryljunction.settings import (
     EntryFile,
     ProcessSettings,
@@ -328,7 +328,7 @@
     def sidecar(self):
         process = ProcessSettings("host-a", "gj-west", "ahd-a", "", "", "key", "", "")
         file = SidecarFile(process, "drafter-0", "drafter", "http://127.0.0.1:1")
-        pool = client_pool()
+        pool = create_client_pool()
         context = RoleContext(None, pool, pool, lambda: 0, lambda name, version: None)
         return SidecarRole(file, ResolvedSettings(), context)
 
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -14,7 +14,7 @@
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import StartError
 from beryljunction.node import FleetProcess
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, TlsSettings
 from beryljunction.standins import HostListStandIn
 from beryljunction.stores import HostRow
@@ -48,7 +48,7 @@
 async def statuses(process, requests, tls=None):
     """Return the status of the answer to each (method, path, key)."""
     found = []
-    async with node_of(process) as node, client_pool(tls) as pool:
+    async with node_of(process) as node, create_client_pool(tls) as pool:
         for method, path, key in requests:
             url = f"http://{node.operator_server.address}{path}"
             headers = [("authorization", key)] if key else []
@@ -125,8 +125,8 @@
         hosts = HostListStandIn()
         address = node.operator_server.address
         hosts.put(HostRow("host-a", "", "", "ahd-a", "gj-west", "", operator_address=address))
-        server = Server(hosts, bind(LOOPBACK))
-        await group.start(server.run_until_stopped)
+        server = Server(hosts, bind_listener(LOOPBACK))
+        await group.start(server.serve_until_stopped)
         yield f"http://{server.address}"
         group.cancel_scope.cancel()
 
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -16,7 +16,7 @@
     RequestGate,
     RolloutPeers,
 )
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, WeightSettings
 from beryljunction.standins import (
     EngineOrdersModel,
@@ -453,9 +453,9 @@
             await answer_engine_orders(model, 0.0, scope, receive, send)
 
         async def run():
-            server = Server(app, bind("127.0.0.1:0"))
-            async with anyio.create_task_group() as group, client_pool() as pool:
-                await group.start(server.run_until_stopped)
+            server = Server(app, bind_listener("127.0.0.1:0"))
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
+                await group.start(server.serve_until_stopped)
                 control = HttpEngineControl(f"http://{server.address}", pool)
                 taken = await control.send_order(Order({"drafter": "v2"}, ("gu",), "decode", 5))
                 fenced = await control.send_order(Order({"drafter": "v1"}, (), "both", 4))
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -4,7 +4,7 @@
 import pytest
 
 from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view, run_demo
-from beryljunction.servers import client_pool
+from beryljunction.servers import create_client_pool
 
 
 class TestDemo:
@@ -34,7 +34,7 @@
     )
     def test_is_refused_with_an_error_code(self, key, body, status, code):
         async def ask():
-            async with anyio.create_task_group() as group, client_pool() as pool:
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
                 entry = await LocalFleet(group, demo_view()).add_entry()
                 response = await pool.request(
                     "POST",
--- a/testing/test_peers.py
+++ b/testing/test_peers.py
@@ -7,7 +7,7 @@
 from beryljunction.loads import LoadRow
 from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.traffic import CountingBackend
-from beryljunction.servers import Server, bind, client_pool, respond
+from beryljunction.servers import Server, bind_listener, create_client_pool, send_response
 from beryljunction.sidecar.peers import LoadExchange
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import PEERS_PATH
@@ -19,7 +19,7 @@
 
 
 async def nothing_else(scope, receive, send):
-    await respond(send, 404, b"")
+    await send_response(send, 404, b"")
 
 
 class Peer:
@@ -30,7 +30,7 @@
         self.newer = []
         self.asked_bytes = 0
         self.answered_bytes = 0
-        self.pool = client_pool(backend=CountingBackend(self.count_asked))
+        self.pool = create_client_pool(backend=CountingBackend(self.count_asked))
         self.exchange = LoadExchange(
             self.load,
             self.pool,
@@ -42,7 +42,7 @@
         )
         routes = {PEERS_PATH: self.exchange}
         front = ControlMiddleware(nothing_else, KEY, routes, lambda: None, self.count_answered)
-        self.server = Server(front, bind("127.0.0.1:0"))
+        self.server = Server(front, bind_listener("127.0.0.1:0"))
 
     def count_asked(self, sent, received):
         self.asked_bytes += sent + received
@@ -63,7 +63,7 @@
 async def peers(*peers):
     async with anyio.create_task_group() as group:
         for peer in peers:
-            await group.start(peer.server.run_until_stopped)
+            await group.start(peer.server.serve_until_stopped)
         for peer in peers:
             peer.exchange.set_peers(
                 {p.load.endpoint_id: p.server.address for p in peers if p is not peer}
@@ -172,7 +172,7 @@
     def test_message_without_the_fleet_key_changes_nothing(self):
         async def run():
             peer = Peer("a")
-            async with peers(peer), client_pool() as pool:
+            async with peers(peer), create_client_pool() as pool:
                 url = f"http://{peer.server.address}{PEERS_PATH}"
                 row = b'[["b","1",1,9,0,0,0.0]]'
                 refused = await pool.request("POST", url, content=row)
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -5,7 +5,7 @@
 
 from beryljunction.platform import ENDPOINT_RECORDS, Expired, HttpStore, NewestRecords, Records
 from beryljunction.platform.store import Unavailable
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import PlatformStoreModel, PlatformStoreStandIn
 
 TOPIC = "keyed.servers"
@@ -17,8 +17,8 @@
     async def run():
         async with anyio.create_task_group() as group:
             stand_in = PlatformStoreStandIn(model)
-            server = Server(stand_in, bind("127.0.0.1:0"))
-            await group.start(server.run_until_stopped)
+            server = Server(stand_in, bind_listener("127.0.0.1:0"))
+            await group.start(server.serve_until_stopped)
             address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
             async with HttpStore(address) as store:
                 result = await scenario(store, stand_in)
--- a/testing/test_ports.py
+++ b/testing/test_ports.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from beryljunction.servers import bind
+from beryljunction.servers import bind_listener
 from ports import free_ports
 
 
@@ -21,7 +21,7 @@
             with socket.socket() as other, pytest.raises(OSError, match="in use"):
                 other.bind(("127.0.0.1", port))
 
-            listener = bind(f"127.0.0.1:{port}")
+            listener = bind_listener(f"127.0.0.1:{port}")
 
         with listener:
             assert listener.getsockname()[1] == port
--- a/testing/test_publish.py
+++ b/testing/test_publish.py
@@ -8,7 +8,7 @@
 import pytest
 
 from beryljunction.cli import operator
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.settings import (
     CHANGES_STREAM,
     Change,
@@ -189,14 +189,14 @@
 
         self.hosts = HostListStandIn()
         apps = (self.log, node, self.hosts)
-        self.servers = [Server(app, bind("127.0.0.1:0")) for app in apps]
+        self.servers = [Server(app, bind_listener("127.0.0.1:0")) for app in apps]
         self.ready = threading.Event()
 
     def run(self):
         async def serve():
             async with anyio.create_task_group() as group:
                 for server in self.servers:
-                    await group.start(server.run_until_stopped)
+                    await group.start(server.serve_until_stopped)
                 self.ready.set()
 
         anyio.run(serve)
--- a/testing/test_restored_store.py
+++ b/testing/test_restored_store.py
@@ -18,7 +18,7 @@
 )
 from beryljunction.platform.positions import era_of, offset_of, position_of
 from beryljunction.routing import EndpointRegistry, StoreReachability
-from beryljunction.servers import Server, bind
+from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import PlatformStoreModel, PlatformStoreStandIn
 from fanout_world import FleetWorld, StoreFault
 from routing_fakes import endpoint, known
@@ -95,8 +95,8 @@
             stand_in = PlatformStoreStandIn()
             problems = []
             async with anyio.create_task_group() as group:
-                server = Server(stand_in, bind("127.0.0.1:0"))
-                await group.start(server.run_until_stopped)
+                server = Server(stand_in, bind_listener("127.0.0.1:0"))
+                await group.start(server.serve_until_stopped)
                 address = ("127.0.0.1", int(server.address.rpartition(":")[2]))
                 for number in range(3):
                     put(stand_in, f"k{number}")
--- a/testing/test_settings_state.py
+++ b/testing/test_settings_state.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from beryljunction.servers import Server, bind, client_pool
+from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import (
     CHANGES_STREAM,
     SNAPSHOTS_STREAM,
@@ -191,9 +191,9 @@
             async def app(scope, receive, send):
                 await serve_settings(behind, behind.apply_snapshot, scope, receive, send)
 
-            server = Server(app, bind("127.0.0.1:0"))
-            async with anyio.create_task_group() as group, client_pool() as pool:
-                await group.start(server.run_until_stopped)
+            server = Server(app, bind_listener("127.0.0.1:0"))
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
+                await group.start(server.serve_until_stopped)
                 await HttpPeers(lambda: [server.address], ahead, pool, "key").exchange(1)
                 group.cancel_scope.cancel()
             return ahead, behind
@@ -210,9 +210,9 @@
             async def app(scope, receive, send):
                 await serve_settings(ahead, ahead.apply_snapshot, scope, receive, send)
 
-            server = Server(app, bind("127.0.0.1:0"))
-            async with anyio.create_task_group() as group, client_pool() as pool:
-                await group.start(server.run_until_stopped)
+            server = Server(app, bind_listener("127.0.0.1:0"))
+            async with anyio.create_task_group() as group, create_client_pool() as pool:
+                await group.start(server.serve_until_stopped)
                 peers = HttpPeers(lambda: [server.address], behind, pool, "key")
                 data = await peers.exchange(0)
                 nothing = await peers.exchange(1)
--- a/testing/test_tls.py
+++ b/testing/test_tls.py
@@ -7,7 +7,7 @@
 import pytest
 
 from beryljunction.errors import StartError
-from beryljunction.servers import Server, bind, client_pool, respond
+from beryljunction.servers import Server, bind_listener, create_client_pool, send_response
 from beryljunction.settings import TlsSettings
 from beryljunction.tls import TlsContexts
 
@@ -30,7 +30,7 @@
 
 
 async def hello(scope, receive, send):
-    await respond(send, 200, b"hello")
+    await send_response(send, 200, b"hello")
 
 
 def ask(server_tls, *client_contexts):
@@ -39,10 +39,10 @@
     async def run():
         answers = []
         async with anyio.create_task_group() as group:
-            server = Server(hello, bind("127.0.0.1:0"), server_tls)
-            await group.start(server.run_until_stopped)
+            server = Server(hello, bind_listener("127.0.0.1:0"), server_tls)
+            await group.start(server.serve_until_stopped)
             for context in client_contexts:
-                async with client_pool(context) as pool:
+                async with create_client_pool(context) as pool:
                     try:
                         response = await pool.request("GET", f"https://{server.address}/")
                         answers.append(response.content)
