--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -20,7 +20,7 @@
 from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stops import Stoppable
-from beryljunction.streams import event_position
+from beryljunction.streams import parse_event_id
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import EndpointTable
 from beryljunction.timeline import Timeline
@@ -243,7 +243,7 @@
     async def _resume(self, context: RequestContext) -> Refusal | None:
         """Resume a stream that any entry began, after the last event the caller received."""
         stream_id = context.path.removeprefix(_STREAMS_PREFIX)
-        position = event_position(context.header(b"last-event-id") or f"{stream_id}.0")
+        position = parse_event_id(context.header(b"last-event-id") or f"{stream_id}.0")
         if position is None or stream_id not in (str(position[0]), position[0].request_id):
             message = "expected /v1/streams/STREAM with the id of an event of it as Last-Event-ID"
             return _not_run_refusal(RefusalCode.BAD_REQUEST, message)
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -17,7 +17,7 @@
 )
 from beryljunction.entry.writers import ResponseWriter
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.streams import SequenceChecker, StreamName
+from beryljunction.streams import SequenceChecker, StreamId
 from beryljunction.tables import Endpoint
 from beryljunction.wire import Attach, Cancel, Envelope, Outcome, decode_refusal
 
@@ -78,7 +78,7 @@
         self._silence_s = silence_s
         self._failures = 0
         self._checker: SequenceChecker | None = None
-        self._resumed: StreamName | None = None
+        self._resumed: StreamId | None = None
 
     async def run(self, envelope: Envelope, body: bytes) -> Refusal | None:
         """Send the request; return None if the caller received its answer."""
@@ -91,7 +91,7 @@
             return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
         return await self._finish(step)
 
-    async def resume(self, stream: StreamName) -> Refusal | None:
+    async def resume(self, stream: StreamId) -> Refusal | None:
         """Resume a stream from an earlier connection; return None once the rest was relayed."""
         self._resumed = stream
         return await self._finish(_Reattach(failed=False))
@@ -131,7 +131,7 @@
         return None
 
     async def _attach_once(self) -> _ReadResult:
-        last = self._checker.last if self._checker is not None else self._attach.after
+        last = self._checker.last_sequence if self._checker is not None else self._attach.after
         attach = attrs.evolve(self._attach, after=last)
         try:
             return await self._read_connection(
@@ -162,11 +162,11 @@
         )
 
     def _position(self) -> int:
-        return self._checker.last if self._checker is not None else 0
+        return self._checker.last_sequence if self._checker is not None else 0
 
     async def _read_answer(self, answer: SidecarResponse) -> _ReadResult:
         if answer.outcome is Outcome.STREAM and answer.name is not None:
-            if not answer.name.is_rest_of(self._resumed):
+            if not answer.name.can_resume(self._resumed):
                 message = "expected a stream that is still kept; its sidecar has started anew"
                 return Refusal(RefusalCode.NOT_FOUND, message, Ran.UNKNOWN)
             return await self._read_stream(answer, answer.name)
@@ -180,7 +180,7 @@
             return _CompleteAnswer(answer.response.status, headers, body)
         return _Reattach(failed=False)
 
-    async def _read_stream(self, answer: SidecarResponse, name: StreamName) -> _ReadResult:
+    async def _read_stream(self, answer: SidecarResponse, name: StreamId) -> _ReadResult:
         checker = await self._open_stream(name)
         watch = answer.watch
         async for chunk in answer.response.aiter_stream():
@@ -191,13 +191,13 @@
                 await self._writer.send_frames(data)
                 watch.paused = False
             watch.heard()
-            if checker.gap:
+            if checker.has_gap:
                 break
         if checker.error is not None:
             return _StreamEnd(decode_refusal(checker.error))
         return _Reattach(failed=True)
 
-    async def _open_stream(self, name: StreamName) -> SequenceChecker:
+    async def _open_stream(self, name: StreamId) -> SequenceChecker:
         if self._checker is None:
             self._checker = SequenceChecker(name, self._attach.after)
             await self._writer.start_stream(name)
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -12,7 +12,7 @@
 from beryljunction.clocks import boot_time_s
 from beryljunction.outcomes import Refusal
 from beryljunction.servers import close_idle_connections
-from beryljunction.streams import StreamName
+from beryljunction.streams import StreamId
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import Endpoint, Stamp
 from beryljunction.timeline import HLC_HEADER, HybridClock
@@ -86,7 +86,7 @@
         headers = dict(response.headers)
         self.outcome = _OUTCOME_BY_HEADER.get(headers.get(OUTCOME_HEADER, b""))
         self.stamp = Stamp.from_text(headers.get(STAMP_HEADER, b"").decode("latin-1"))
-        self.name = StreamName.parse(headers.get(STREAM_HEADER, b"").decode("latin-1"))
+        self.name = StreamId.parse(headers.get(STREAM_HEADER, b"").decode("latin-1"))
         self.hlc = headers.get(HLC_HEADER)
         self.response = response
         self.watch = watch
--- a/src/beryljunction/entry/writers.py
+++ b/src/beryljunction/entry/writers.py
@@ -4,7 +4,7 @@
 
 from beryljunction.outcomes import Refusal, RefusalCode
 from beryljunction.servers import Send, send_response
-from beryljunction.streams import StreamName, error_event
+from beryljunction.streams import StreamId, error_event
 from beryljunction.wire import REQUEST_ID_HEADER, STREAM_HEADER, encode_refusal
 
 __all__ = ["IDEMPOTENCY_KEY_HEADER", "ROUTE_HINT_HEADER", "TICKET_HEADER", "ResponseWriter"]
@@ -77,7 +77,7 @@
         await send_response(self._send, 200, body, self._entry_headers())
         self.complete = True
 
-    async def start_stream(self, name: StreamName) -> None:
+    async def start_stream(self, name: StreamId) -> None:
         """Send the response head of a stream."""
         headers = [
             (b"content-type", b"text/event-stream"),
--- a/src/beryljunction/framelog.py
+++ b/src/beryljunction/framelog.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-__all__ = ["FrameLog"]
+__all__ = ["ReplayBuffer"]
 
 # A frame of 262 bytes, as sent by engines with the usual chat API, takes 14 bytes in blocks of 8 KB
 # and 1.5 us of CPU time, spent once. With blocks of 4 KB it takes 21 bytes and 2.4 us. Blocks of
@@ -66,14 +66,14 @@
         return data[self.ends[skipped - 1] if skipped else 0 :]
 
 
-class FrameLog:
+class ReplayBuffer:
     """Numbered frames of one response, retained so that readers can resume.
 
     Of the frames that a reader has received, the newest are retained, up to a limit in bytes.
     Frames that no reader has received are never dropped; :attr:`full` tells the producer to wait.
 
     Attributes:
-        last: Sequence number of the newest frame.
+        last_sequence: Sequence number of the newest frame.
     """
 
     def __init__(self, limit_bytes: int) -> None:
@@ -85,7 +85,7 @@
         self._last_sent = 0
         self._sent_bytes = 0
         self._unsent_bytes = 0
-        self.last = 0
+        self.last_sequence = 0
 
     @property
     def size_bytes(self) -> int:
@@ -101,15 +101,15 @@
     def append(self, frames: list[bytes]) -> None:
         """Append the next frames of the response."""
         self._frames.extend(frames)
-        self.last += len(frames)
+        self.last_sequence += len(frames)
         self._unsent_bytes += sum(map(len, frames))
 
-    def reaches(self, after: int) -> bool:
+    def can_resume_after(self, after: int) -> bool:
         """Return whether all frames after a valid sequence number are still retained."""
         first = self._blocks[0].first if self._blocks else self._last_compressed + 1
-        return first <= after + 1 <= self.last + 1
+        return first <= after + 1 <= self.last_sequence + 1
 
-    def after(self, sequence: int) -> bytes:
+    def read_after(self, sequence: int) -> bytes:
         """Return the frames after a sequence number that :meth:`reaches`; mark them as sent."""
         start = sequence - self._last_compressed
         if start < 0:
@@ -118,8 +118,8 @@
         else:
             frames = self._frames[start:] if start else self._frames
             data = frames[0] if len(frames) == 1 else b"".join(frames)
-        if self._last_sent < self.last:
-            self._last_sent = self.last
+        if self._last_sent < self.last_sequence:
+            self._last_sent = self.last_sequence
             self._sent_bytes += self._unsent_bytes
             self._unsent_bytes = 0
             if self._sent_bytes > min(_BLOCK_BYTES, self._limit_bytes):
@@ -131,7 +131,7 @@
         block = _Block.pack(self._last_compressed + 1, self._frames)
         self._blocks.append(block)
         self._block_frame_bytes += block.frame_bytes
-        self._last_compressed = self.last
+        self._last_compressed = self.last_sequence
         self._frames = []
         self._sent_bytes = 0
         while self._block_frame_bytes - self._blocks[0].frame_bytes >= self._limit_bytes:
--- a/src/beryljunction/fuzz/entries.py
+++ b/src/beryljunction/fuzz/entries.py
@@ -23,7 +23,7 @@
 from beryljunction.fuzz.oracle import Asked, Kind, Oracle
 from beryljunction.fuzz.sidecars import SERVICE
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.streams import SequenceChecker, StreamName, event_position
+from beryljunction.streams import SequenceChecker, StreamId, parse_event_id
 from beryljunction.systems import (
     EndpointSelector,
     GiveUp,
@@ -62,7 +62,7 @@
 
     asked: Asked
     attempts: RequestAttempts | TicketAttempts | None = None
-    resumed: StreamName | None = None
+    resumed: StreamId | None = None
     after: int = 0
     ignore_pointer: bool = False
     homes: list[Endpoint] = attrs.field(factory=list)
@@ -135,7 +135,7 @@
 
     def resume(self, asked: Asked) -> None:
         """Take up a caller's stream after the event that it saw last, whoever began it."""
-        position = event_position(asked.last_event_id or "")
+        position = parse_event_id(asked.last_event_id or "")
         assert position is not None
         name, after = position
         row = _Open(asked, resumed=name, after=after)
@@ -302,13 +302,13 @@
             last = row.after
             if row.checker is not None:
                 row.checker.restart()
-                last = row.checker.last
+                last = row.checker.last_sequence
             resumed_by = row.asked.account if row.resumed is not None else ""
             call = AttachCall(row.try_id, row.heard, row.heard_age_s, last, resumed_by)
             self._call(row, call)
 
     def _frames(self, row: _Open, frames: FramesReply) -> None:
-        if not frames.name.is_rest_of(row.resumed):
+        if not frames.name.can_resume(row.resumed):
             self._refuse(row, Refusal(RefusalCode.NOT_FOUND, "not kept", Ran.UNKNOWN))
             return
         if row.checker is None:
@@ -317,7 +317,7 @@
         if data:
             row.has_frames = True
             self._oracle.received(row.asked, data)
-        if row.checker.gap:
+        if row.checker.has_gap:
             self._silent(row)
         if row.checker.complete:
             self._answer(row, b"".join(row.asked.pieces))
--- a/src/beryljunction/fuzz/network.py
+++ b/src/beryljunction/fuzz/network.py
@@ -5,7 +5,7 @@
 import attrs
 
 from beryljunction.outcomes import Refusal
-from beryljunction.streams import StreamName
+from beryljunction.streams import StreamId
 from beryljunction.systems import ClaimBatch, KeyClaim
 from beryljunction.tables import Stamp
 
@@ -122,7 +122,7 @@
     """Frames of a streamed answer, and whose they are."""
 
     stamp: Stamp
-    name: StreamName
+    name: StreamId
     data: bytes
 
 
--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -23,7 +23,7 @@
 )
 from beryljunction.fuzz.oracle import EngineRun, Oracle
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
-from beryljunction.streams import DONE, FrameLog, FrameNumberer, StreamName, event_position
+from beryljunction.streams import DONE, FrameNumberer, ReplayBuffer, StreamId, parse_event_id
 from beryljunction.systems import (
     AdmissionController,
     AdmissionLimits,
@@ -79,13 +79,13 @@
     """One request at a sidecar, with the connections that wait for it."""
 
     call: RunCall
-    name: StreamName
+    name: StreamId
     numberer: FrameNumberer
     readers: set[tuple[str, int]]
     serial: str | None = None
     run: EngineRun | None = None
     produced: int = 0
-    frames: FrameLog = attrs.field(factory=lambda: FrameLog(_FRAMES_BYTES))
+    frames: ReplayBuffer = attrs.field(factory=lambda: ReplayBuffer(_FRAMES_BYTES))
     reply: AnswerReply | RefusalReply | None = None
     ended_s: float | None = None
 
@@ -188,7 +188,7 @@
             pieces = [_COMMENT, b"data: " + piece]
             self._frames(job, [*pieces, DONE] if is_last else pieces)
         if is_last:
-            body = job.frames.after(0) if job.call.streamed else b"".join(job.run.chunks)
+            body = job.frames.read_after(0) if job.call.streamed else b"".join(job.run.chunks)
             self._finish(job, body)
 
     def resume_engine(self, job: Job) -> None:
@@ -222,7 +222,7 @@
         if arrival is not Arrival.FRESH:
             self._reply(reader, RefusalReply(self._stamp(), _not_taken(arrival, call.idempotent)))
             return
-        name = StreamName(self.endpoint_id, self._incarnation, call.try_id)
+        name = StreamId(self.endpoint_id, self._incarnation, call.try_id)
         job = self.jobs[call.try_id] = Job(call, name, FrameNumberer(name), {reader})
         if call.idempotent:
             self._admit(job)
@@ -354,10 +354,10 @@
                 self._reply(reader, reply)
 
     def _frames(self, job: Job, pieces: list[bytes]) -> None:
-        before = job.frames.last
-        job.frames.append(job.numberer.number(pieces))
+        before = job.frames.last_sequence
+        job.frames.append(job.numberer.add_ids(pieces))
         for reader in job.readers:
-            self._reply(reader, FramesReply(self._stamp(), job.name, job.frames.after(before)))
+            self._reply(reader, FramesReply(self._stamp(), job.name, job.frames.read_after(before)))
 
     def _follow(self, job: Job, other: Job) -> None:
         """Join a request to the one that runs under the same ticket."""
@@ -371,7 +371,7 @@
         if job is None or job.call.account != call.resumed_by or not job.call.streamed:
             refusal = Refusal(RefusalCode.NOT_FOUND, "not kept", Ran.UNKNOWN)
             self._reply(reader, RefusalReply(self._stamp(), refusal))
-        elif not job.frames.reaches(call.last):
+        elif not job.frames.can_resume_after(call.last):
             refusal = Refusal(RefusalCode.INCOMPLETE, "no longer kept", Ran.YES)
             self._reply(reader, RefusalReply(self._stamp(), refusal))
         else:
@@ -397,8 +397,8 @@
         if job is None:
             return
         job.readers.add(reader)
-        if job.frames.reaches(last):
-            self._reply(reader, FramesReply(self._stamp(), job.name, job.frames.after(last)))
+        if job.frames.can_resume_after(last):
+            self._reply(reader, FramesReply(self._stamp(), job.name, job.frames.read_after(last)))
         if job.reply is not None:
             self._reply(reader, job.reply)
 
@@ -441,9 +441,9 @@
     return Refusal(code, "arrived too late", Ran.NO, 1.0)
 
 
-def _name_of(frames: bytes) -> StreamName:
+def _name_of(frames: bytes) -> StreamId:
     """Return whose frames a kept answer holds: those of the try that ran."""
     event_id = frames.partition(b"id: ")[2].partition(b"\n")[0].decode()
-    position = event_position(event_id)
+    position = parse_event_id(event_id)
     assert position is not None
     return position[0]
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -9,7 +9,7 @@
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import close_idle_connections
 from beryljunction.sidecar.runs import Run
-from beryljunction.streams import FrameCutter, FrameNumberer, StreamName
+from beryljunction.streams import FrameNumberer, FrameParser, StreamId
 from beryljunction.systems import SpeedMeter
 from beryljunction.tables import Answer
 from beryljunction.watches import Watch, WatchList
@@ -62,7 +62,7 @@
         self.request_s = _DEFAULT_REQUEST_TIMEOUT_S
         self.answer_bytes = _DEFAULT_MAX_ANSWER_BYTES
 
-    async def execute(self, run: Run, name: StreamName, priority: int | None = None) -> None:
+    async def execute(self, run: Run, name: StreamId, priority: int | None = None) -> None:
         """Send the request and store its answer, or the reason for the failure, in the run.
 
         A failure after the first byte may have been sent and before the endpoint has answered
@@ -143,10 +143,10 @@
     async def _read_frames(
         self, run: Run, response: httpcore.Response, numberer: FrameNumberer, watch: Watch
     ) -> None:
-        cutter = FrameCutter()
+        parser = FrameParser()
         async for chunk in response.aiter_stream():
-            frames = numberer.number(cutter.feed(chunk))
-            if cutter.overlong:
+            frames = numberer.add_ids(parser.feed(chunk))
+            if parser.is_frame_too_long:
                 return
             if frames:
                 # A slow reader may block here; that does not count as silence of the endpoint.
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -14,7 +14,7 @@
 from beryljunction.sidecar.kv import KvClient
 from beryljunction.sidecar.ledger import RunTickets
 from beryljunction.sidecar.runs import Run, RunTable
-from beryljunction.streams import FrameLog, StreamName
+from beryljunction.streams import ReplayBuffer, StreamId
 from beryljunction.systems import (
     AdmissionController,
     AdmissionLimits,
@@ -147,7 +147,7 @@
             message = "this try was here before and its answer is no longer kept"
             return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
         if envelope.idempotent:
-            return self._admit(Run(envelope, body, FrameLog(self._frame_log_bytes(envelope))))
+            return self._admit(Run(envelope, body, ReplayBuffer(self._frame_log_bytes(envelope))))
         return self._accept_non_idempotent(envelope, body)
 
     def _accept_non_idempotent(self, envelope: Envelope, body: bytes) -> Run | Answer | Refusal:
@@ -159,7 +159,7 @@
             return self._join_run(claim, envelope)
         if isinstance(claim, FirstClaim):
             run = Run(
-                envelope, body, FrameLog(self._frame_log_bytes(envelope)), serial=claim.serial
+                envelope, body, ReplayBuffer(self._frame_log_bytes(envelope)), serial=claim.serial
             )
             return self._admit(run)
         refusal = claim_refusal(claim)
@@ -257,9 +257,9 @@
         if not is_over and run.may_be_cancelled and not run.envelope.streamed:
             run.scope.cancel()
 
-    def stream_name(self, run: Run) -> StreamName:
+    def stream_name(self, run: Run) -> StreamId:
         """Return the name of the stream of a run."""
-        return StreamName(self._file.endpoint_id, self._incarnation, run.envelope.request_id)
+        return StreamId(self._file.endpoint_id, self._incarnation, run.envelope.request_id)
 
     def _tick(self) -> None:
         for decision in self.admission.tick(time.monotonic()):
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -87,6 +87,6 @@
 
 def _stream_answer(run: Run) -> Answer | None:
     """Return a stream as one answer for retries; None if its first frames were dropped."""
-    if not run.log.reaches(0):
+    if not run.log.can_resume_after(0):
         return None
-    return Answer(200, _STREAM_HEADERS, run.log.after(0))
+    return Answer(200, _STREAM_HEADERS, run.log.read_after(0))
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -14,7 +14,7 @@
 from beryljunction.servers import Receive, cancel_on_disconnect
 from beryljunction.sidecar.runs import Reader, Run
 from beryljunction.sidecar.writers import ResponseWriter
-from beryljunction.streams import HEARTBEAT, StreamName, error_event
+from beryljunction.streams import HEARTBEAT, StreamId, error_event
 from beryljunction.wire import encode_refusal
 
 __all__ = ["ReadRequest", "serve_reader"]
@@ -38,7 +38,7 @@
 
 
 async def serve_reader(
-    run: Run, name: StreamName, read_request: ReadRequest, receive: Receive, writer: ResponseWriter
+    run: Run, name: StreamId, read_request: ReadRequest, receive: Receive, writer: ResponseWriter
 ) -> None:
     """Write the answer from a position on until it ends or the reader disconnects.
 
@@ -61,7 +61,7 @@
 
 
 async def _write_answer(
-    run: Run, reader: Reader, name: StreamName, read_request: ReadRequest, writer: ResponseWriter
+    run: Run, reader: Reader, name: StreamId, read_request: ReadRequest, writer: ResponseWriter
 ) -> None:
     with anyio.move_on_after(read_request.pending_s):
         while not run.readable:
@@ -72,7 +72,7 @@
         await writer.answer(run.answer)
     elif not run.streaming:
         await writer.refuse(_end_refusal(run), read_request.request_id)
-    elif not run.log.reaches(read_request.after):
+    elif not run.log.can_resume_after(read_request.after):
         await writer.refuse(_dropped_frames_refusal(read_request.after), read_request.request_id)
     else:
         await writer.open_stream(name)
@@ -82,10 +82,10 @@
 async def _write_stream(run: Run, reader: Reader, after: int, writer: ResponseWriter) -> None:
     send = writer.send
     log = run.log
-    while log.reaches(after):
-        if log.last > after:
-            data = log.after(after)
-            after = log.last
+    while log.can_resume_after(after):
+        if log.last_sequence > after:
+            data = log.read_after(after)
+            after = log.last_sequence
             run.data_read.notify()
         elif run.ended_s is not None:
             break
@@ -96,8 +96,8 @@
             continue
         reader.idle = reader.heartbeat_due = False
         await send({"type": "http.response.body", "body": data, "more_body": True})
-    refusal = _end_refusal(run) if log.reaches(after) else _dropped_frames_refusal(after)
-    is_complete = run.complete and after == log.last
+    refusal = _end_refusal(run) if log.can_resume_after(after) else _dropped_frames_refusal(after)
+    is_complete = run.complete and after == log.last_sequence
     last_event = b"" if is_complete else error_event(encode_refusal(refusal, reader.request_id))
     await send({"type": "http.response.body", "body": last_event})
 
--- a/src/beryljunction/sidecar/runs.py
+++ b/src/beryljunction/sidecar/runs.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.outcomes import Ran, Refusal
-from beryljunction.streams import FrameLog
+from beryljunction.streams import ReplayBuffer
 from beryljunction.tables import Answer
 from beryljunction.wire import Envelope
 
@@ -76,7 +76,7 @@
 
     envelope: Envelope
     body: bytes
-    log: FrameLog
+    log: ReplayBuffer
     ran: Ran = Ran.NO
     admission_decided: anyio.Event = attrs.field(factory=anyio.Event)
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
--- a/src/beryljunction/sidecar/writers.py
+++ b/src/beryljunction/sidecar/writers.py
@@ -4,7 +4,7 @@
 
 from beryljunction.outcomes import Refusal, RefusalCode
 from beryljunction.servers import Send
-from beryljunction.streams import StreamName
+from beryljunction.streams import StreamId
 from beryljunction.tables import Answer, Stamp
 from beryljunction.timeline import HLC_HEADER, HybridClock
 from beryljunction.wire import OUTCOME_HEADER, STAMP_HEADER, STREAM_HEADER, Outcome, encode_refusal
@@ -56,7 +56,7 @@
         headers = [(key, value) for key, value in answer.headers if key != b"content-length"]
         await self._write_response(answer.status, Outcome.ANSWER, headers, answer.body)
 
-    async def open_stream(self, name: StreamName) -> None:
+    async def open_stream(self, name: StreamId) -> None:
         """Write the response head of an event stream."""
         headers = [*_EVENT_STREAM, (STREAM_HEADER, str(name).encode())]
         await self._write_head(200, Outcome.STREAM, headers)
--- a/src/beryljunction/streams.py
+++ b/src/beryljunction/streams.py
@@ -8,18 +8,18 @@
 
 import attrs
 
-from beryljunction.framelog import FrameLog
+from beryljunction.framelog import ReplayBuffer
 
 __all__ = [
     "DONE",
     "HEARTBEAT",
-    "FrameCutter",
-    "FrameLog",
+    "FrameParser",
+    "ReplayBuffer",
     "FrameNumberer",
     "SequenceChecker",
-    "StreamName",
+    "StreamId",
     "error_event",
-    "event_position",
+    "parse_event_id",
 ]
 
 FRAME_END = b"\n\n"
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class StreamName:
+class StreamId:
     """Identifies the stream of one response; the part of an event id before the sequence."""
 
     endpoint_id: str
@@ -45,7 +45,7 @@
     def __str__(self) -> str:
         return f"{self.endpoint_id}.{self.incarnation}.{self.request_id}"
 
-    def is_rest_of(self, asked: "StreamName | None") -> bool:
+    def can_resume(self, asked: "StreamId | None") -> bool:
         """Return whether a caller that resumes the given stream may read this one; None is any.
 
         The sidecar may have restarted and run the same request again because of a delayed message.
@@ -55,7 +55,7 @@
         return asked is None or self == asked
 
     @classmethod
-    def parse(cls, text: str) -> "StreamName | None":
+    def parse(cls, text: str) -> "StreamId | None":
         """Return the parsed name, or None if the text is invalid; endpoint ids may contain dots."""
         parts = text.rsplit(".", 2)
         return cls(*parts) if len(parts) == 3 and all(parts) else None
@@ -66,16 +66,16 @@
     return _ERROR_PREFIX + body + FRAME_END
 
 
-def event_position(event_id: str) -> tuple[StreamName, int] | None:
+def parse_event_id(event_id: str) -> tuple[StreamId, int] | None:
     """Return the stream and sequence of an event id, or None if it has another format."""
     text, _, sequence = event_id.rpartition(".")
-    name = StreamName.parse(text)
+    name = StreamId.parse(text)
     if name is None or not (sequence.isascii() and sequence.isdigit()):
         return None
     return name, int(sequence)
 
 
-class FrameCutter:
+class FrameParser:
     """Splits a stream of bytes into complete frames and converts line ends to LF.
 
     Args:
@@ -96,12 +96,12 @@
         return frames
 
     @property
-    def partial(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether bytes of an incomplete frame are buffered."""
         return bool(self._tail)
 
     @property
-    def overlong(self) -> bool:
+    def is_frame_too_long(self) -> bool:
         """Whether the incomplete frame exceeds the maximum size."""
         return len(self._tail) > self._frame_bytes
 
@@ -109,12 +109,12 @@
 class FrameNumberer:
     """Adds an id to each frame of one response and the frame count to the last."""
 
-    def __init__(self, name: StreamName) -> None:
+    def __init__(self, name: StreamId) -> None:
         self._prefix = _ID_PREFIX + str(name).encode() + b"."
         self.sequence = 0
         self.done = False
 
-    def number(self, frames: list[bytes]) -> list[bytes]:
+    def add_ids(self, frames: list[bytes]) -> list[bytes]:
         """Return the frames in the format that is sent.
 
         Comments are dropped: an engine counts only data events when it resumes, so a numbered
@@ -144,48 +144,48 @@
     forwarded until the reader calls :meth:`restart` and requests the rest on a new connection.
 
     Attributes:
-        last: Sequence number of the last frame that was forwarded.
+        last_sequence: Sequence number of the last frame that was forwarded.
         complete: Whether the final frame of the response was forwarded.
         error: Body of the error that ended the response, if any.
     """
 
-    def __init__(self, name: StreamName, last: int = 0) -> None:
+    def __init__(self, name: StreamId, last_sequence: int = 0) -> None:
         self._prefix = _ID_PREFIX + str(name).encode() + b"."
-        self.last = last
+        self.last_sequence = last_sequence
         self.complete = False
         self.error: bytes | None = None
-        self.gap = False
-        self._cutter = FrameCutter()
+        self.has_gap = False
+        self._parser = FrameParser()
         self._update_next_id()
 
     def restart(self) -> None:
         """Discard buffered data of a connection that was abandoned."""
-        self.gap = False
-        self._cutter = FrameCutter()
+        self.has_gap = False
+        self._parser = FrameParser()
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes to forward to the caller now."""
         # Fast path: nearly every chunk is exactly the next frame, which is forwarded unchanged.
         whole = data.startswith(self._next_id_line) and data.find(FRAME_END) == len(data) - 2
-        if whole and not self._cutter.partial and not self.gap:
-            self.last += 1
+        if whole and not self._parser.has_partial_frame and not self.has_gap:
+            self.last_sequence += 1
             self._update_next_id()
             return data
         return b"".join(
-            [frame + FRAME_END for frame in self._cutter.feed(data) if self._take(frame)]
+            [frame + FRAME_END for frame in self._parser.feed(data) if self._accept(frame)]
         )
 
     def _update_next_id(self) -> None:
-        self._next_id_line = b"%s%d\n" % (self._prefix, self.last + 1)
+        self._next_id_line = b"%s%d\n" % (self._prefix, self.last_sequence + 1)
 
-    def _take(self, frame: bytes) -> bool:
+    def _accept(self, frame: bytes) -> bool:
         sequence, count = self._position(frame)
-        if sequence is None or self.gap or self.complete or sequence <= self.last:
+        if sequence is None or self.has_gap or self.complete or sequence <= self.last_sequence:
             return False
-        if sequence != self.last + 1:
-            self.gap = True
+        if sequence != self.last_sequence + 1:
+            self.has_gap = True
             return False
-        self.last = sequence
+        self.last_sequence = sequence
         self._update_next_id()
         self.complete = count == sequence
         return True
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -6,7 +6,7 @@
 
 from beryljunction.servers import read_body
 from beryljunction.settings import LimitSettings
-from beryljunction.streams import FrameNumberer, StreamName
+from beryljunction.streams import FrameNumberer, StreamId
 from beryljunction.tables import Endpoint
 from beryljunction.wire import (
     ATTACH_PATH,
@@ -182,11 +182,11 @@
         if scope["path"] == ATTACH_PATH:
             attach = decode(body, Attach)
             self.asked_after.append(attach.after)
-            name = StreamName("drafter-0", "life", attach.request_id)
+            name = StreamId("drafter-0", "life", attach.request_id)
         else:
             envelope = decode(headers[ENVELOPE_HEADER], Envelope)
-            name = StreamName("drafter-0", "life", envelope.request_id)
-        frames = FrameNumberer(name).number([b"data: a", b"data: b", b"data: c", b"data: [DONE]"])
+            name = StreamId("drafter-0", "life", envelope.request_id)
+        frames = FrameNumberer(name).add_ids([b"data: a", b"data: b", b"data: c", b"data: [DONE]"])
         head = [(OUTCOME_HEADER, b"stream"), (STREAM_HEADER, str(name).encode())]
         await send({"type": "http.response.start", "status": 200, "headers": head})
         for number in self.scripts.pop(0):
@@ -237,7 +237,7 @@
             async with path.pool.stream(
                 "POST", entry + CHAT, headers=[AUTH], content=chat()
             ) as answer:
-                await eventually(lambda: app.runs and next(iter(app.runs)).log.last == 3)
+                await eventually(lambda: app.runs and next(iter(app.runs)).log.last_sequence == 3)
                 path.hole.freeze()
                 engine.release.set()
                 body = await answer.aread()
@@ -261,7 +261,7 @@
                 "POST", entry + CHAT, headers=[AUTH], content=chat()
             ) as answer:
                 request_id = dict(answer.headers)[b"beryl-request-id"].decode()
-                await eventually(lambda: app.runs.get(request_id).log.last == 3)
+                await eventually(lambda: app.runs.get(request_id).log.last_sequence == 3)
                 path.hole.freeze()
                 engine.release.set()
                 body = await answer.aread()
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -6,7 +6,7 @@
 from beryljunction.fuzz import CI, ENDPOINTS, FleetMachine, Kind, run_fuzz
 from beryljunction.fuzz.machine import SidecarFault
 from beryljunction.outcomes import Ran
-from beryljunction.streams import FrameNumberer, SequenceChecker, event_position
+from beryljunction.streams import FrameNumberer, SequenceChecker, parse_event_id
 from beryljunction.systems import (
     AdmissionController,
     FirstClaim,
@@ -150,13 +150,13 @@
 
 
 def pass_on_frames_twice(patch):
-    real = SequenceChecker._take
+    real = SequenceChecker._accept
 
-    def take(self, frame):
+    def accept(self, frame):
         sequence, _ = self._position(frame)
-        return real(self, frame) or (sequence is not None and sequence <= self.last)
+        return real(self, frame) or (sequence is not None and sequence <= self.last_sequence)
 
-    patch.setattr(SequenceChecker, "_take", take)
+    patch.setattr(SequenceChecker, "_accept", accept)
 
 
 def take_work_while_leaving(patch):
@@ -186,18 +186,18 @@
 
 
 def pass_on_frames_after_a_gap(patch):
-    real = SequenceChecker._take
+    real = SequenceChecker._accept
 
-    def take(self, frame):
+    def accept(self, frame):
         sequence, _ = self._position(frame)
-        self.last = max(self.last, (sequence or 0) - 1)
+        self.last_sequence = max(self.last_sequence, (sequence or 0) - 1)
         return real(self, frame)
 
-    patch.setattr(SequenceChecker, "_take", take)
+    patch.setattr(SequenceChecker, "_accept", accept)
 
 
 def number_comments(patch):
-    real = FrameNumberer.number
+    real = FrameNumberer.add_ids
 
     def number(self, frames):
         return real(self, [b"event" + row if row.startswith(b":") else row for row in frames])
@@ -207,10 +207,10 @@
 
 def resume_one_event_later(patch):
     def position(event_id):
-        name, sequence = event_position(event_id)
+        name, sequence = parse_event_id(event_id)
         return name, sequence + 1
 
-    patch.setattr("beryljunction.fuzz.entries.event_position", position)
+    patch.setattr("beryljunction.fuzz.entries.parse_event_id", position)
 
 
 def point_elsewhere_for_ever(patch):
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -332,8 +332,8 @@
         # wait only as long as the settings allow, and the prefix must be exported once.
         async with path_of(view_with(handover_s=0.3, kv_token_bytes=1)) as path:
             fleet = await Fleet(path).start()
-            overlong = Prefix(fleet.key, "c", 10_000_000, time.monotonic())
-            fleet.leaving.run_manager.prefixes.put(overlong)
+            is_frame_too_long = Prefix(fleet.key, "c", 10_000_000, time.monotonic())
+            fleet.leaving.run_manager.prefixes.put(is_frame_too_long)
             fleet.engines[0].hangs = EXPORT
             fleet.leaving.admission.leaving = True
             await eventually(lambda: EXPORT in fleet.engines[0].calls)
--- a/testing/test_stops.py
+++ b/testing/test_stops.py
@@ -67,7 +67,7 @@
             stop = GracefulStop(app, [path.servers[-1]], settle_s=0.0)
             path.group.start_soon(stop.run)
             async with path.open_run(STREAM):
-                await eventually(lambda: app.runs.get("r1").log.last == 2)
+                await eventually(lambda: app.runs.get("r1").log.last_sequence == 2)
             stop.request()
             stop.request()
             engine.release.set()
@@ -108,7 +108,7 @@
             engine = ScriptedEngine(hold_at=2)
             app = await path.sidecar(engine)
             async with path.open_run(STREAM):
-                await eventually(lambda: app.runs.get("r1").log.last == 2)
+                await eventually(lambda: app.runs.get("r1").log.last_sequence == 2)
 
             app.refuse_new()
             await eventually(lambda: app.runs.get("r1").readers == [])
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -2,55 +2,55 @@
 
 from beryljunction.streams import (
     HEARTBEAT,
-    FrameCutter,
-    FrameLog,
     FrameNumberer,
+    FrameParser,
+    ReplayBuffer,
     SequenceChecker,
-    StreamName,
+    StreamId,
     error_event,
-    event_position,
+    parse_event_id,
 )
 
-NAME = StreamName("drafter-0.gj", "ab12", "r1")
+NAME = StreamId("drafter-0.gj", "ab12", "r1")
 
 
 def wire_frames(words: int) -> list[bytes]:
     frames = [b"data: word%d" % i for i in range(words)]
-    return FrameNumberer(NAME).number([*frames, b"data: [DONE]"])
+    return FrameNumberer(NAME).add_ids([*frames, b"data: [DONE]"])
 
 
 class TestEventId:
     def test_parses_stream_and_sequence_with_dots_in_the_endpoint_id(self):
-        assert event_position(f"{NAME}.17") == (NAME, 17)
+        assert parse_event_id(f"{NAME}.17") == (NAME, 17)
 
     @pytest.mark.parametrize("text", ["", "17", "a.b.17", "a.b.c.x", "a..c.1"])
     def test_rejects_texts_of_another_format(self, text):
-        assert event_position(text) is None
+        assert parse_event_id(text) is None
 
 
 class TestFrameCutter:
     def test_buffers_an_incomplete_frame_and_accepts_crlf(self):
-        cutter = FrameCutter()
+        parser = FrameParser()
 
-        assert cutter.feed(b"data: a\r") == []
-        assert cutter.feed(b"\n\r\ndata: b\n\nda") == [b"data: a", b"data: b"]
-        assert cutter.partial
+        assert parser.feed(b"data: a\r") == []
+        assert parser.feed(b"\n\r\ndata: b\n\nda") == [b"data: a", b"data: b"]
+        assert parser.has_partial_frame
 
     def test_frame_that_never_ends_is_overlong(self):
-        cutter = FrameCutter(frame_bytes=10)
-        cutter.feed(b"data: " + b"x" * 10)
-        assert cutter.overlong
+        parser = FrameParser(frame_bytes=10)
+        parser.feed(b"data: " + b"x" * 10)
+        assert parser.is_frame_too_long
 
 
 class TestFrameNumberer:
     def test_skips_comments_so_that_the_engine_resumes_at_the_right_token(self):
         numberer = FrameNumberer(NAME)
-        numberer.number([b": ping", b"data: a", b": ping"])
+        numberer.add_ids([b": ping", b"data: a", b": ping"])
         assert numberer.sequence == 1
 
     def test_adds_the_count_to_the_last_frame_and_drops_later_ones(self):
         numberer = FrameNumberer(NAME)
-        frames = numberer.number([b"data: a", b"data: [DONE]", b"data: late"])
+        frames = numberer.add_ids([b"data: a", b"data: [DONE]", b"data: late"])
         assert frames[-1] == b": count=2\nid: drafter-0.gj.ab12.r1.2\ndata: [DONE]\n\n"
 
 
@@ -78,14 +78,14 @@
         checker = SequenceChecker(NAME)
 
         out = [checker.feed(frames[0]), checker.feed(frames[2]), checker.feed(frames[3])]
-        assert (b"".join(out), checker.gap, checker.complete) == (frames[0], True, False)
+        assert (b"".join(out), checker.has_gap, checker.complete) == (frames[0], True, False)
 
         checker.restart()
         assert checker.feed(b"".join(frames[1:])) == b"".join(frames[1:])
         assert checker.complete
 
     def test_drops_frames_of_another_stream(self):
-        other = FrameNumberer(StreamName("drafter-0.gj", "ab12", "r2")).number([b"data: a"])
+        other = FrameNumberer(StreamId("drafter-0.gj", "ab12", "r2")).add_ids([b"data: a"])
         assert SequenceChecker(NAME).feed(other[0]) == b""
 
     def test_drops_heartbeats(self):
@@ -99,43 +99,43 @@
 
 class TestFrameLog:
     def test_retains_unsent_frames_and_reports_when_full(self):
-        log = FrameLog(limit_bytes=10)
+        log = ReplayBuffer(limit_bytes=10)
         log.append([b"12345678"] * 3)
 
         assert log.full
-        assert log.after(0) == b"12345678" * 3
+        assert log.read_after(0) == b"12345678" * 3
         assert not log.full
 
     def test_drops_the_oldest_sent_frames_above_the_limit(self):
-        log = FrameLog(limit_bytes=16)
+        log = ReplayBuffer(limit_bytes=16)
         for i in range(20):
             log.append([b"12345678"])
-            log.after(i)
+            log.read_after(i)
 
         assert log.size_bytes <= 2 * 16 + 8
-        assert not log.reaches(1)
-        assert log.after(18) == b"12345678" * 2
+        assert not log.can_resume_after(1)
+        assert log.read_after(18) == b"12345678" * 2
 
     def test_returns_the_same_frames_from_any_retained_sequence(self):
         frames = wire_frames(400)
-        log = FrameLog(limit_bytes=4_096)
+        log = ReplayBuffer(limit_bytes=4_096)
         for i, frame in enumerate(frames):
             log.append([frame])
-            log.after(i)
+            log.read_after(i)
 
-        reached = [i for i in range(len(frames)) if log.reaches(i)]
+        reached = [i for i in range(len(frames)) if log.can_resume_after(i)]
 
-        assert [log.after(i) for i in reached] == [b"".join(frames[i:]) for i in reached]
+        assert [log.read_after(i) for i in reached] == [b"".join(frames[i:]) for i in reached]
         assert sum(map(len, frames[reached[0] :])) >= 4_096
 
     def test_compresses_sent_frames(self):
-        log = FrameLog(limit_bytes=65_536)
+        log = ReplayBuffer(limit_bytes=65_536)
         for i, frame in enumerate(wire_frames(1_000)):
             log.append([frame])
-            log.after(i)
+            log.read_after(i)
 
-        assert log.reaches(0)
+        assert log.can_resume_after(0)
         assert log.size_bytes < 16_384
 
     def test_does_not_reach_a_sequence_that_was_never_appended(self):
-        assert not FrameLog(limit_bytes=10).reaches(1)
+        assert not ReplayBuffer(limit_bytes=10).can_resume_after(1)
