--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -16,6 +16,7 @@
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER, ResponseWriter
+from beryljunction.idle_timeouts import IdleTimeouts
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
 from beryljunction.settings import EntryFile, ResolvedSettings
@@ -24,7 +25,6 @@
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import EndpointTable
 from beryljunction.timeline import Timeline
-from beryljunction.watches import WatchList
 from beryljunction.wire import Attach, TicketGrant, decode, encode
 
 __all__ = ["EntryApp"]
@@ -61,14 +61,14 @@
         self.file = file
         self.endpoints = endpoints
         self.timeline = Timeline(file.process.host, file.process.availability_zone)
-        self.watches = WatchList()
+        self.idle_timeouts = IdleTimeouts()
         self.leaving = False
         self._in_flight = 0
         self.membership = MembershipTracker(endpoints)
         self._pool = create_client_pool(tls)
         self._sidecars = SidecarClient(
             self._pool,
-            self.watches,
+            self.idle_timeouts,
             file.process.fleet_key,
             self.timeline.clock,
             self.membership,
@@ -105,7 +105,7 @@
         """Hold the connection pool open and run the silence timeouts until cancelled."""
         async with self._pool:
             task_status.started()
-            await self.watches.run()
+            await self.idle_timeouts.run()
 
     @property
     def in_flight(self) -> int:
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -182,15 +182,15 @@
 
     async def _read_stream(self, answer: SidecarResponse, name: StreamId) -> _ReadResult:
         checker = await self._open_stream(name)
-        watch = answer.watch
+        idle_timeout = answer.idle_timeout
         async for chunk in answer.response.aiter_stream():
             data = checker.feed(chunk)
             if data:
                 # Waiting for a slow caller must not count as silence of the sidecar.
-                watch.paused = True
+                idle_timeout.paused = True
                 await self._writer.send_frames(data)
-                watch.paused = False
-            watch.heard()
+                idle_timeout.paused = False
+            idle_timeout.reset()
             if checker.has_gap:
                 break
         if checker.error is not None:
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -10,13 +10,13 @@
 import httpcore
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.idle_timeouts import IdleTimeout, IdleTimeouts
 from beryljunction.outcomes import Refusal
 from beryljunction.servers import close_idle_connections
 from beryljunction.streams import StreamId
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import Endpoint, Stamp
 from beryljunction.timeline import HLC_HEADER, HybridClock
-from beryljunction.watches import Watch, WatchList
 from beryljunction.wire import (
     ATTACH_PATH,
     CANCEL_PATH,
@@ -82,14 +82,14 @@
         hlc: Hybrid logical time at which the sidecar answered.
     """
 
-    def __init__(self, response: httpcore.Response, watch: Watch) -> None:
+    def __init__(self, response: httpcore.Response, idle_timeout: IdleTimeout) -> None:
         headers = dict(response.headers)
         self.outcome = _OUTCOME_BY_HEADER.get(headers.get(OUTCOME_HEADER, b""))
         self.stamp = Stamp.from_text(headers.get(STAMP_HEADER, b"").decode("latin-1"))
         self.name = StreamId.parse(headers.get(STREAM_HEADER, b"").decode("latin-1"))
         self.hlc = headers.get(HLC_HEADER)
         self.response = response
-        self.watch = watch
+        self.idle_timeout = idle_timeout
 
 
 class SidecarClient:
@@ -98,13 +98,13 @@
     def __init__(
         self,
         pool: httpcore.AsyncConnectionPool,
-        watches: WatchList,
+        idle_timeouts: IdleTimeouts,
         fleet_key: str,
         clock: HybridClock,
         membership: MembershipTracker,
     ) -> None:
         self._pool = pool
-        self._watches = watches
+        self._idle_timeouts = idle_timeouts
         self._last_stamps: dict[str, ReceivedStamp] = {}
         self._fleet_key_header = (FLEET_KEY_HEADER, fleet_key.encode())
         self._clock = clock
@@ -202,7 +202,7 @@
             (HLC_HEADER, self._clock.stamp()),
             (b"content-length", b"%d" % len(body)),
         ]
-        with self._watches.watch(silence_s) as watch:
+        with self._idle_timeouts.add(silence_s) as idle_timeout:
             async with self._pool.stream(
                 "POST",
                 f"http://{endpoint.address}{path}",
@@ -210,8 +210,8 @@
                 content=body,
                 extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
-                answer = SidecarResponse(response, watch)
+                answer = SidecarResponse(response, idle_timeout)
                 self._clock.heard_stamp(answer.hlc)
-                watch.heard()
+                idle_timeout.reset()
                 self._note_stamp(endpoint, answer.stamp)
                 yield answer
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -6,13 +6,13 @@
 import anyio
 import httpcore
 
+from beryljunction.idle_timeouts import IdleTimeout, IdleTimeouts
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import close_idle_connections
 from beryljunction.sidecar.runs import Run
 from beryljunction.streams import FrameNumberer, FrameParser, StreamId
 from beryljunction.systems import SpeedMeter
 from beryljunction.tables import Answer
-from beryljunction.watches import Watch, WatchList
 
 __all__ = ["EndpointClient"]
 
@@ -50,13 +50,13 @@
     def __init__(
         self,
         pool: httpcore.AsyncConnectionPool,
-        watches: WatchList,
+        idle_timeouts: IdleTimeouts,
         address: str,
         speed: SpeedMeter | None = None,
     ) -> None:
         self._speed = speed if speed is not None else SpeedMeter()
         self._pool = pool
-        self._watches = watches
+        self._idle_timeouts = idle_timeouts
         self._address = address
         self.silence_s = _DEFAULT_SILENCE_TIMEOUT_S
         self.request_s = _DEFAULT_REQUEST_TIMEOUT_S
@@ -77,12 +77,12 @@
         numberer = FrameNumberer(name)
         run.ran = Ran.UNKNOWN
         try:
-            async with self._open(run, priority) as (response, watch):
+            async with self._open(run, priority) as (response, idle_timeout):
                 run.ran = Ran.YES
                 if not _is_stream(run, response):
                     await self._read_answer(run, response)
                     return
-                await self._read_frames(run, response, numberer, watch)
+                await self._read_frames(run, response, numberer, idle_timeout)
         except _CONNECT_ERRORS:
             run.ran = Ran.NO
             message = "the endpoint did not take the connection; no byte of the request was sent"
@@ -111,13 +111,13 @@
     @asynccontextmanager
     async def _open(
         self, run: Run, priority: int | None
-    ) -> AsyncIterator[tuple[httpcore.Response, Watch]]:
+    ) -> AsyncIterator[tuple[httpcore.Response, IdleTimeout]]:
         envelope = run.envelope
         headers = [*envelope.headers, ("x-request-id", envelope.request_id)]
         if priority is not None:
             headers.append((_PRIORITY_HEADER, str(priority)))
         limit_s = self.silence_s if envelope.streamed else self.request_s
-        with self._watches.watch(limit_s) as watch:
+        with self._idle_timeouts.add(limit_s) as idle_timeout:
             async with self._pool.stream(
                 envelope.method,
                 self._address + envelope.path,
@@ -125,7 +125,7 @@
                 content=run.body,
                 extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
-                yield response, watch
+                yield response, idle_timeout
 
     async def _read_answer(self, run: Run, response: httpcore.Response) -> None:
         parts = []
@@ -141,7 +141,11 @@
         run.answer = Answer(response.status, tuple(headers), b"".join(parts))
 
     async def _read_frames(
-        self, run: Run, response: httpcore.Response, numberer: FrameNumberer, watch: Watch
+        self,
+        run: Run,
+        response: httpcore.Response,
+        numberer: FrameNumberer,
+        idle_timeout: IdleTimeout,
     ) -> None:
         parser = FrameParser()
         async for chunk in response.aiter_stream():
@@ -150,11 +154,11 @@
                 return
             if frames:
                 # A slow reader may block here; that does not count as silence of the endpoint.
-                watch.paused = True
+                idle_timeout.paused = True
                 self._speed.note(len(frames))
                 await run.add_frames(frames)
-                watch.paused = False
-            watch.heard()
+                idle_timeout.paused = False
+            idle_timeout.reset()
 
     async def _resume(self, run: Run, numberer: FrameNumberer) -> None:
         """Request the rest on new connections until the answer is complete or resuming fails."""
@@ -171,7 +175,7 @@
         """Resume the stream once; return False when the engine does not have it."""
         path = f"/v1/streams/{run.envelope.request_id}?after={numberer.sequence}"
         try:
-            with self._watches.watch(self.silence_s) as watch:
+            with self._idle_timeouts.add(self.silence_s) as idle_timeout:
                 async with self._pool.stream(
                     "GET",
                     self._address + path,
@@ -180,7 +184,7 @@
                     if response.status != 200:
                         return False
                     run.ran = Ran.YES
-                    await self._read_frames(run, response, numberer, watch)
+                    await self._read_frames(run, response, numberer, idle_timeout)
         except _CONNECTION_ERRORS:
             return True
         return True
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -7,6 +7,7 @@
 import attrs
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.idle_timeouts import IdleTimeouts
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
@@ -33,7 +34,6 @@
 )
 from beryljunction.tables import Answer, Prefix, PrefixTable, SidecarRequest, Stamp
 from beryljunction.timeline import Timeline
-from beryljunction.watches import WatchList
 from beryljunction.wire import Attach, Cancel, Envelope
 
 __all__ = ["RunManager"]
@@ -84,14 +84,16 @@
             ChatDirectory(file.endpoint_id),
         )
         self.runs = RunTable()
-        self.watches = WatchList()
+        self.idle_timeouts = IdleTimeouts()
         self._file = file
         self._incarnation = incarnation
         self._timeline = timeline
         self._ledger = RunTickets(self.tickets)
         self._pool = create_client_pool()
         speed = self.admission.load.speed
-        self._endpoint = EndpointClient(self._pool, self.watches, file.endpoint_address, speed)
+        self._endpoint = EndpointClient(
+            self._pool, self.idle_timeouts, file.endpoint_address, speed
+        )
         self.kv = KvClient(self._pool, file.endpoint_address)
         self.prefixes = PrefixTable()
         self._group: anyio.abc.TaskGroup | None = None
@@ -121,7 +123,7 @@
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         """Run the background tasks until cancelled."""
         async with self._pool, anyio.create_task_group() as self._group:
-            self._group.start_soon(self.watches.run)
+            self._group.start_soon(self.idle_timeouts.run)
             self._group.start_soon(self._send_heartbeats_and_expire)
             task_status.started()
             while True:
--- a/src/beryljunction/watches.py
+++ b/src/beryljunction/watches.py
@@ -12,70 +12,70 @@
 import attrs
 import httpcore
 
-__all__ = ["Watch", "WatchList"]
+__all__ = ["IdleTimeout", "IdleTimeouts"]
 
-TICK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 @attrs.define(eq=False)
-class Watch:
+class IdleTimeout:
     """Idle timeout of one connection.
 
     Attributes:
-        heard_s: Monotonic time of the last byte received.
+        last_byte_s: Monotonic time of the last byte received.
         paused: Set while this side doesn't read, for example because the caller is slow.
-        fired: Whether the timeout has expired and the connection was abandoned.
+        expired: Whether the timeout has expired and the connection was abandoned.
     """
 
     limit_s: float
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
-    heard_s: float = attrs.field(factory=time.monotonic)
+    last_byte_s: float = attrs.field(factory=time.monotonic)
     paused: bool = False
-    fired: bool = False
+    expired: bool = False
 
-    def heard(self) -> None:
+    def reset(self) -> None:
         """Record that bytes were received."""
-        self.heard_s = time.monotonic()
+        self.last_byte_s = time.monotonic()
 
     def check(self, now_s: float) -> None:
         """Cancel the scope if the connection has been idle for too long."""
         if self.paused:
-            self.heard_s = now_s
-        elif now_s - self.heard_s > self.limit_s:
-            self.fired = True
+            self.last_byte_s = now_s
+        elif now_s - self.last_byte_s > self.limit_s:
+            self.expired = True
             self.scope.cancel()
 
 
-class WatchList:
+class IdleTimeouts:
     """All active idle timeouts of one process."""
 
     def __init__(self) -> None:
-        self._open: set[Watch] = set()
+        self._open: set[IdleTimeout] = set()
 
     @contextlib.contextmanager
-    def watch(self, limit_s: float) -> Iterator[Watch]:
+    def add(self, limit_s: float) -> Iterator[IdleTimeout]:
         """Run the block, and cancel it when no byte is received for longer than the limit.
 
         Raises:
             httpcore.ReadTimeout: When the block was cancelled.
         """
-        watch = Watch(limit_s)
-        self._open.add(watch)
+        idle_timeout = IdleTimeout(limit_s)
+        self._open.add(idle_timeout)
         try:
-            with watch.scope:
-                yield watch
+            with idle_timeout.scope:
+                yield idle_timeout
         finally:
-            self._open.discard(watch)
-        if watch.fired:
+            self._open.discard(idle_timeout)
+        if idle_timeout.expired:
             raise httpcore.ReadTimeout(f"expected a byte within {limit_s:g} s, got none")
 
-    def tick(self, now_s: float) -> None:
+    def check_all(self, now_s: float) -> None:
         """Check every active timeout."""
-        for watch in tuple(self._open):
-            watch.check(now_s)
+        for idle_timeout in tuple(self._open):
+            idle_timeout.check(now_s)
 
     async def run(self) -> None:
         """Check all timeouts periodically, until cancelled."""
         while True:
-            await anyio.sleep(TICK_S)
-            self.tick(time.monotonic())
+            await anyio.sleep(CHECK_INTERVAL_S)
+            self.check_all(time.monotonic())
--- a/testing/test_watches.py
+++ b/testing/test_watches.py
@@ -1,34 +1,33 @@
 import anyio
 import httpcore
 import pytest
+from beryljunction.idle_timeouts import IdleTimeouts
 
-from beryljunction.watches import WatchList
 
-
-class TestWatchList:
+class TestIdleTimeouts:
     def test_connection_idle_beyond_the_limit_times_out(self):
-        watches = WatchList()
+        idle_timeouts = IdleTimeouts()
 
         def read_nothing():
-            with watches.watch(limit_s=3.0) as watch:
-                watches.tick(watch.heard_s + 2.9)
-                assert not watch.fired
-                watches.tick(watch.heard_s + 3.1)
-                assert watch.fired
+            with idle_timeouts.add(limit_s=3.0) as idle_timeout:
+                idle_timeouts.check_all(idle_timeout.last_byte_s + 2.9)
+                assert not idle_timeout.expired
+                idle_timeouts.check_all(idle_timeout.last_byte_s + 3.1)
+                assert idle_timeout.expired
 
         with pytest.raises(httpcore.ReadTimeout):
             _run_in_event_loop(read_nothing)
 
     def test_time_waiting_for_a_slow_caller_is_not_counted(self):
-        watches = WatchList()
+        idle_timeouts = IdleTimeouts()
 
         def wait_for_the_caller():
-            with watches.watch(limit_s=3.0) as watch:
-                watch.paused = True
-                watches.tick(watch.heard_s + 60.0)
-                watch.paused = False
-                watches.tick(watch.heard_s + 2.9)
-                assert not watch.fired
+            with idle_timeouts.add(limit_s=3.0) as idle_timeout:
+                idle_timeout.paused = True
+                idle_timeouts.check_all(idle_timeout.last_byte_s + 60.0)
+                idle_timeout.paused = False
+                idle_timeouts.check_all(idle_timeout.last_byte_s + 2.9)
+                assert not idle_timeout.expired
 
         _run_in_event_loop(wait_for_the_caller)
 
