--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -8,7 +8,7 @@
 import anyio
 
 from beryljunction.errors import BerylError
-from beryljunction.logs import configure_logs
+from beryljunction.logs import configure_logging
 from beryljunction.node import FleetProcess
 from beryljunction.settings import EntryFile, ResolvedSettings, SidecarFile, load_file
 
@@ -44,7 +44,7 @@
     async def run(file: F) -> None:
         await make(file, file.fleet or ResolvedSettings()).run_until_signal()
 
-    configure_logs()
+    configure_logging()
     return run_file(settings, kind, run)
 
 
--- a/src/beryljunction/clocks.py
+++ b/src/beryljunction/clocks.py
@@ -2,7 +2,7 @@
 
 import time
 
-__all__ = ["boot_time_s", "wall_time_s"]
+__all__ = ["boot_time_s", "unix_time_s"]
 
 
 def boot_time_s() -> float:
@@ -14,6 +14,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def wall_time_s() -> float:
+def unix_time_s() -> float:
     """Return Unix time; only for values that other hosts read, since the clock can be changed."""
     return time.time()
--- a/src/beryljunction/entry/sidecars.py
+++ b/src/beryljunction/entry/sidecars.py
@@ -199,7 +199,7 @@
     ) -> AsyncIterator[SidecarResponse]:
         common_headers = [
             self._fleet_key_header,
-            (HLC_HEADER, self._clock.stamp()),
+            (HLC_HEADER, self._clock.header_value()),
             (b"content-length", b"%d" % len(body)),
         ]
         with self._idle_timeouts.add(silence_s) as idle_timeout:
@@ -211,7 +211,7 @@
                 extensions={"timeout": {"connect": _CONNECT_TIMEOUT_S}},
             ) as response:
                 answer = SidecarResponse(response, idle_timeout)
-                self._clock.heard_stamp(answer.hlc)
+                self._clock.update_from_header(answer.hlc)
                 idle_timeout.reset()
                 self._note_stamp(endpoint, answer.stamp)
                 yield answer
--- a/src/beryljunction/gateway/events.py
+++ b/src/beryljunction/gateway/events.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from beryljunction.gateway.metrics import EntryMetrics
-from beryljunction.logs import key_value_formatter, key_value_text
+from beryljunction.logs import format_key_values, key_value_formatter
 from beryljunction.timeline import Timeline
 
 __all__ = ["EntryEventLog", "LineWriter"]
@@ -94,7 +94,7 @@
         if self.timeline is not None:
             request_id = str(fields.get("request_id", ""))
             rest = {key: value for key, value in fields.items() if key != "request_id"}
-            self.timeline.add(event, request_id, key_value_text(rest))
+            self.timeline.add(event, request_id, format_key_values(rest))
         second = int(time.monotonic())
         if second != self._current_second:
             self._start_second(second)
--- a/src/beryljunction/gateway/quarantine.py
+++ b/src/beryljunction/gateway/quarantine.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from beryljunction.clocks import boot_time_s, wall_time_s
+from beryljunction.clocks import boot_time_s, unix_time_s
 from beryljunction.gateway.auto_reset_event import AutoResetEvent
 from beryljunction.gateway.crashreports import CrashReport
 from beryljunction.gateway.events import EntryEventLog
@@ -155,7 +155,7 @@
         if not math.isfinite(until_s):
             self._events.write("quarantine_refused", key=record.key)
             return
-        left_s = until_s - wall_time_s()
+        left_s = until_s - unix_time_s()
         if left_s > 0.0:
             self._apply_quarantine(record.key.removeprefix(_KEY_PREFIX), left_s)
 
@@ -201,4 +201,4 @@
 
 
 def _record(digest: str, left_s: float) -> Record:
-    return Record(_KEY_PREFIX + digest, b"%.0f" % (wall_time_s() + left_s))
+    return Record(_KEY_PREFIX + digest, b"%.0f" % (unix_time_s() + left_s))
--- a/src/beryljunction/gateway/response_headers.py
+++ b/src/beryljunction/gateway/response_headers.py
@@ -1,6 +1,6 @@
 """Applies the load, leaving and Retry-After headers in the responses of an endpoint."""
 
-from beryljunction.clocks import boot_time_s, wall_time_s
+from beryljunction.clocks import boot_time_s, unix_time_s
 from beryljunction.gateway.exchangelog import ExchangeLog
 from beryljunction.gateway.messages import ResponseHead
 from beryljunction.platform.request_headers import has_leaving_header, parse_load, parse_retry_after
@@ -17,7 +17,7 @@
         running, waiting = load
         endpoint.report = LoadReport(running, waiting, endpoint.in_flight, now_s)
     if endpoint.leaving_s is None and has_leaving_header(status, head.headers):
-        endpoint.leaving_s = wall_time_s()
+        endpoint.leaving_s = unix_time_s()
         log.write("endpoint_leaving", endpoint=endpoint_id)
     pause_s = parse_retry_after(status, head.headers)
     if pause_s > 0.0:
--- a/src/beryljunction/logs.py
+++ b/src/beryljunction/logs.py
@@ -9,15 +9,15 @@
 import xxhash
 from pythonjsonlogger.json import JsonFormatter
 
-from beryljunction.timeline import ORDINARY_KINDS, Event
+from beryljunction.timeline import SAMPLED_EVENT_KINDS, Event
 
-__all__ = ["EventLog", "configure_logs", "key_value_formatter", "key_value_text"]
+__all__ = ["EventLogger", "configure_logging", "key_value_formatter", "format_key_values"]
 
 _UNQUOTED = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:/+-")
 _HASH_RANGE = 2**64
 
 
-def key_value_text(fields: dict[str, Any], *_: Any, **__: Any) -> str:
+def format_key_values(fields: dict[str, Any], *_: Any, **__: Any) -> str:
     """Return fields as key=value text; values with special characters are written as JSON.
 
     Extra arguments are ignored, so that python-json-logger can call it as a serializer.
@@ -43,11 +43,11 @@
     return _Formatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level", "message": "event"},
-        json_serializer=key_value_text,
+        json_serializer=format_key_values,
     )
 
 
-def configure_logs(level: str = "INFO") -> None:
+def configure_logging(level: str = "INFO") -> None:
     """Send the logs of this process to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(key_value_formatter())
@@ -56,7 +56,7 @@
     logging.getLogger("uvicorn.error").setLevel(logging.WARNING)
 
 
-class EventLog:
+class EventLogger:
     """Writes the events of a timeline as log lines; ordinary events are sampled.
 
     Requests are sampled by their id, so all processes log the same requests. Refusals, failures
@@ -83,6 +83,6 @@
         self._logger.info(event.kind, extra=fields)
 
     def _is_logged(self, event: Event) -> bool:
-        if event.kind not in ORDINARY_KINDS or not event.request_id:
+        if event.kind not in SAMPLED_EVENT_KINDS or not event.request_id:
             return True
         return xxhash.xxh3_64_intdigest(event.request_id.encode()) < self._hash_limit
--- a/src/beryljunction/metrics.py
+++ b/src/beryljunction/metrics.py
@@ -9,7 +9,7 @@
 from beryljunction.servers import Asgi, Receive, Scope, Send
 from beryljunction.timeline import Event
 
-__all__ = ["MeteredApp", "Metrics"]
+__all__ = ["MetricsMiddleware", "Metrics"]
 
 # The target of 0.32 s to the first token must itself be a bucket bound.
 _FIRST_BYTE_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.32, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
@@ -45,9 +45,9 @@
             ["purpose", "direction"],
             registry=self.registry,
         )
-        self.watch("beryl_up_info", f"Constant 1; the process is a {role}.", lambda: 1.0)
+        self.add_gauge("beryl_up_info", f"Constant 1; the process is a {role}.", lambda: 1.0)
 
-    def watch(self, name: str, documentation: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, documentation: str, read: Callable[[], float]) -> None:
         """Add a gauge whose value is read at each scrape."""
         Gauge(name, documentation, registry=self.registry).set_function(read)
 
@@ -57,7 +57,7 @@
         if event.kind == "refused":
             self._refusals.labels(event.detail).inc()
 
-    def count_control(self, purpose: str, sent_bytes: int, received_bytes: int) -> None:
+    def count_control_bytes(self, purpose: str, sent_bytes: int, received_bytes: int) -> None:
         """Count the bytes of an exchange of control traffic."""
         self._control.labels(purpose, "sent").inc(sent_bytes)
         self._control.labels(purpose, "received").inc(received_bytes)
@@ -71,7 +71,7 @@
         return generate_latest(self.registry)
 
 
-class MeteredApp:
+class MetricsMiddleware:
     """ASGI middleware that measures the time to the first byte of each response."""
 
     def __init__(self, app: Asgi, metrics: Metrics) -> None:
--- a/src/beryljunction/node/client.py
+++ b/src/beryljunction/node/client.py
@@ -118,7 +118,7 @@
         response = await self._process_pool.request(
             method,
             f"http://{row.operator_address}{path}",
-            headers=[(HLC_HEADER, self._clock.stamp()), *self._key_header],
+            headers=[(HLC_HEADER, self._clock.header_value()), *self._key_header],
             content=body,
             extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), _TIMEOUT_S)},
         )
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -110,7 +110,7 @@
 
     async def show_events(request: Request) -> Response:
         stamp = request.headers.get(HLC_HEADER.decode(), "").encode()
-        timeline.clock.heard_stamp(stamp)
+        timeline.clock.update_from_header(stamp)
         events = timeline.events(request.query_params.get("request_id"))
         events = events[-int(request.query_params.get("last", _DEFAULT_EVENT_COUNT)) :]
         body = json.dumps({"events": [attrs.astuple(event) for event in events]})
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -12,8 +12,8 @@
 import attrs
 import httpcore
 
-from beryljunction.logs import EventLog
-from beryljunction.metrics import MeteredApp, Metrics
+from beryljunction.logs import EventLogger
+from beryljunction.metrics import Metrics, MetricsMiddleware
 from beryljunction.node.entry_role import EntryRole
 from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.hosts import HostListWatcher
@@ -85,8 +85,8 @@
         self._pools = {name: self._pool(name) for name in (*_PLATFORM_POOLS, *_FLEET_POOLS)}
         self._log = HttpLogClient(process.log_address, self._pools["log"])
         self.role = role = make_role(self._role_context(process))
-        role.timeline.listen(EventLog(process.log_sample_ratio))
-        role.timeline.listen(self.metrics.count_event)
+        role.timeline.add_listener(EventLogger(process.log_sample_ratio))
+        role.timeline.add_listener(self.metrics.count_event)
         hosts = HttpHostList(self._pools["hosts"], process.hosts_address)
         self.host_list_watcher = HostListWatcher(hosts, role.update_hosts, role.timeline)
         self._follower = self._settings_follower(process)
@@ -205,7 +205,7 @@
 
     def _pool(self, purpose: str) -> httpcore.AsyncConnectionPool:
         """Return a pool whose traffic counts as control traffic; platform pools have no TLS."""
-        backend = CountingBackend(functools.partial(self.metrics.count_control, purpose))
+        backend = CountingBackend(functools.partial(self.metrics.count_control_bytes, purpose))
         return create_client_pool(self._client_tls if purpose in _FLEET_POOLS else None, backend)
 
     @property
@@ -261,7 +261,7 @@
             )
 
         routes = {SETTINGS_PATH: show_settings, **self.role.routes}
-        metered = MeteredApp(self.role.app, self.metrics)
+        metered = MetricsMiddleware(self.role.app, self.metrics)
         return ControlMiddleware(
             metered, process.fleet_key, routes, self._refusal, self._count_answer
         )
@@ -274,7 +274,7 @@
         return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0)
 
     def _count_answer(self, path: str, sent_bytes: int, received_bytes: int) -> None:
-        self.metrics.count_control(path.rpartition("/")[2], sent_bytes, received_bytes)
+        self.metrics.count_control_bytes(path.rpartition("/")[2], sent_bytes, received_bytes)
 
     def _not_ready(self) -> str:
         if self._leaving:
@@ -295,11 +295,11 @@
             "beryl_requests_waiting": ("Requests that wait for the endpoint.", "waiting"),
         }
         for name, (documentation, field) in gauges.items():
-            self.metrics.watch(name, documentation, _status_reader(self, field))
+            self.metrics.add_gauge(name, documentation, _status_reader(self, field))
         for alarm in attrs.fields(Alarms):
             documentation = f"Alarm of the settings: {alarm.name.replace('_', ' ')}."
             read = functools.partial(getattr, self.settings_reader.alarms, alarm.name)
-            self.metrics.watch(f"beryl_settings_{alarm.name}", documentation, read)
+            self.metrics.add_gauge(f"beryl_settings_{alarm.name}", documentation, read)
 
 
 def _status_reader(node: FleetProcess, field: str) -> Callable[[], float]:
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -113,7 +113,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one HTTP request from another process of the fleet."""
         headers = dict(scope["headers"])
-        self.timeline.clock.heard_stamp(headers.get(HLC_HEADER))
+        self.timeline.clock.update_from_header(headers.get(HLC_HEADER))
         writer = ResponseWriter(
             send, self.run_manager.tombstones.stamp(boot_time_s()), self.timeline.clock
         )
--- a/src/beryljunction/sidecar/writers.py
+++ b/src/beryljunction/sidecar/writers.py
@@ -73,7 +73,7 @@
         common = [
             (OUTCOME_HEADER, outcome.encode()),
             (STAMP_HEADER, self.stamp.to_text().encode()),
-            (HLC_HEADER, self.clock.stamp()),
+            (HLC_HEADER, self.clock.header_value()),
         ]
         await self.send(
             {"type": "http.response.start", "status": status, "headers": [*common, *headers]}
--- a/src/beryljunction/timeline.py
+++ b/src/beryljunction/timeline.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-__all__ = ["HLC_HEADER", "ORDINARY_KINDS", "Event", "HybridClock", "Timeline", "merge_events"]
+__all__ = ["HLC_HEADER", "SAMPLED_EVENT_KINDS", "Event", "HybridClock", "Timeline", "merge_events"]
 
 HLC_HEADER = b"beryl-hlc"
 # Kinds of events of every successful request. All other kinds are notable, so that a kind missing
 # here is never lost by sampling.
-ORDINARY_KINDS = frozenset(("arrived", "queued", "started", "ended", "answered"))
+SAMPLED_EVENT_KINDS = frozenset(("arrived", "queued", "started", "ended", "answered"))
 _RING_EVENTS = 4096
 # A host whose clock is a year ahead would advance the clock of every process that it contacts.
 # Clocks synchronized by NTP differ by far less, so a timestamp beyond this limit is ignored.
@@ -53,20 +53,20 @@
         self._last = (wall_ms, 0) if wall_ms > last_ms else (last_ms, logical + 1)
         return self._last
 
-    def heard(self, wall_ms: int, logical: int) -> None:
+    def update(self, wall_ms: int, logical: int) -> None:
         """Advance the clock to the timestamp of a message from another process."""
         if wall_ms <= int(self._wall_s() * 1000) + _MAX_CLOCK_AHEAD_MS:
             self._last = max(self._last, (wall_ms, logical))
 
-    def stamp(self) -> bytes:
+    def header_value(self) -> bytes:
         """Return the header value with the current time for a message to another process."""
         return b"%d.%d" % self.now()
 
-    def heard_stamp(self, stamp: bytes | None) -> None:
+    def update_from_header(self, stamp: bytes | None) -> None:
         """Advance the clock to the timestamp in a header; invalid values are ignored."""
         wall, _, logical = (stamp or b"").partition(b".")
         if wall.isdigit() and logical.isdigit():
-            self.heard(int(wall), int(logical))
+            self.update(int(wall), int(logical))
 
 
 class Timeline:
@@ -90,7 +90,7 @@
         self._notable: collections.deque[Event] = collections.deque(maxlen=ring_events)
         self._listeners: list[Callable[[Event], None]] = []
 
-    def listen(self, listener: Callable[[Event], None]) -> None:
+    def add_listener(self, listener: Callable[[Event], None]) -> None:
         """Register a callback for all further events, for example a log or a metric."""
         self._listeners.append(listener)
 
@@ -98,7 +98,7 @@
         """Record an event."""
         wall_ms, logical = self.clock.now()
         event = Event(wall_ms, logical, self._host, self._zone, kind, request_id, detail)
-        ring = self._ordinary if kind in ORDINARY_KINDS else self._notable
+        ring = self._ordinary if kind in SAMPLED_EVENT_KINDS else self._notable
         ring.append(event)
         for listener in self._listeners:
             listener(event)
--- a/testing/test_logs.py
+++ b/testing/test_logs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryljunction.logs import EventLog, configure_logs
+from beryljunction.logs import EventLogger, configure_logging
 from beryljunction.timeline import Timeline
 
 
@@ -17,13 +17,13 @@
 def logged_events(caplog, sample_ratio, events):
     caplog.set_level(logging.INFO)
     timeline = Timeline("host-a", "ahd-a")
-    timeline.listen(EventLog(sample_ratio))
+    timeline.add_listener(EventLogger(sample_ratio))
     for kind, request_id in events:
         timeline.add(kind, request_id)
     return [(record.message, record.request_id) for record in caplog.records]
 
 
-class TestEventLog:
+class TestEventLogger:
     def test_sampling_never_drops_refusals_and_failures(self, caplog):
         events = [("arrived", "r1"), ("refused", "r1"), ("try_refused", "r2"), ("broken", "r3")]
 
@@ -42,9 +42,9 @@
 class TestConfigureLogs:
     @pytest.mark.usefixtures("restored_logging")
     def test_event_is_one_line_of_key_value_pairs(self, capsys):
-        configure_logs()
+        configure_logging()
         timeline = Timeline("host-a", "ahd-a")
-        timeline.listen(EventLog(1.0))
+        timeline.add_listener(EventLogger(1.0))
 
         timeline.add("refused", "r1", 'two words and a "quote"\n')
 
--- a/testing/test_metrics.py
+++ b/testing/test_metrics.py
@@ -1,6 +1,6 @@
 import anyio
 
-from beryljunction.metrics import MeteredApp, Metrics
+from beryljunction.metrics import Metrics, MetricsMiddleware
 from beryljunction.timeline import Timeline
 
 
@@ -12,7 +12,7 @@
     def test_refusals_are_counted_by_code(self):
         metrics = Metrics("entry")
         timeline = Timeline("host-a", "ahd-a")
-        timeline.listen(metrics.count_event)
+        timeline.add_listener(metrics.count_event)
 
         for _ in range(2):
             timeline.add("refused", "r1", "overloaded")
@@ -23,7 +23,7 @@
     def test_processes_do_not_share_a_registry(self):
         first, second = Metrics("entry"), Metrics("entry")
 
-        first.count_control("peers", 10, 20)
+        first.count_control_bytes("peers", 10, 20)
 
         assert (
             sample_value(first, "beryl_control_bytes_total", purpose="peers", direction="sent")
@@ -37,7 +37,7 @@
     def test_gauge_is_read_at_each_scrape(self):
         metrics = Metrics("sidecar")
         running = [1.0]
-        metrics.watch("beryl_running_requests", "Requests that run here.", lambda: running[0])
+        metrics.add_gauge("beryl_running_requests", "Requests that run here.", lambda: running[0])
 
         running[0] = 2.0
 
@@ -56,6 +56,6 @@
 
         metrics = Metrics("entry")
 
-        anyio.run(MeteredApp(app, metrics), {}, None, discard)
+        anyio.run(MetricsMiddleware(app, metrics), {}, None, discard)
 
         assert sample_value(metrics, "beryl_first_byte_seconds_count") == 1
--- a/testing/test_timeline.py
+++ b/testing/test_timeline.py
@@ -17,7 +17,7 @@
         responder = HybridClock(lambda: 99.0)
 
         sent = requester.now()
-        responder.heard_stamp(requester.stamp())
+        responder.update_from_header(requester.header_value())
 
         assert responder.now() > sent
 
@@ -32,7 +32,7 @@
     def test_implausible_stamp_is_ignored(self, stamp):
         clock = HybridClock(lambda: 100.0)
 
-        clock.heard_stamp(stamp)
+        clock.update_from_header(stamp)
 
         assert clock.now() == (100_000, 0)
 
@@ -52,9 +52,9 @@
         sidecar = Timeline("host-a", "ahd-b", HybridClock(lambda: 99.0))
 
         entry.add("arrived", "r1")
-        sidecar.clock.heard_stamp(entry.clock.stamp())
+        sidecar.clock.update_from_header(entry.clock.header_value())
         sidecar.add("started", "r1")
-        entry.clock.heard_stamp(sidecar.clock.stamp())
+        entry.clock.update_from_header(sidecar.clock.header_value())
         entry.add("answered", "r1")
 
         merged = merge_events(sidecar.events("r1"), entry.events("r1"))
