--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -13,7 +13,7 @@
     print_failures,
 )
 from beryljunction.node import OperatorClient
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.stores import HostRow
 
 __all__ = ["drain"]
@@ -68,7 +68,7 @@
         await anyio.sleep(_POLL_INTERVAL_S)
 
 
-def _status_line(node: NodeStatus) -> str:
+def _status_line(node: ProcessStatus) -> str:
     name = node.endpoint_id or node.host
     state = node.not_ready or "ready"
     return f"{name}: {state}, {node.running} running, {node.waiting} waiting"
--- a/src/beryljunction/cli/status.py
+++ b/src/beryljunction/cli/status.py
@@ -7,7 +7,7 @@
 
 from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE, ask_fleet, print_failures, rows_of
 from beryljunction.node import OperatorClient
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 
 __all__ = ["status"]
 
@@ -68,7 +68,7 @@
         print(line.rstrip())
 
 
-def _table_row(node: NodeStatus) -> tuple[str, ...]:
+def _table_row(node: ProcessStatus) -> tuple[str, ...]:
     return (
         node.host,
         node.availability_zone,
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -112,7 +112,7 @@
         """Number of requests whose answer has not been sent completely."""
         return self._in_flight
 
-    def refuse_new(self) -> None:
+    def start_draining(self) -> None:
         """Refuse new requests; those in flight continue."""
         self.leaving = True
 
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -11,7 +11,7 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.messages import HttpRequest
 from beryljunction.gateway.probes import ProbeHandler
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, NodeStatus, shows_key
+from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus, is_operator_authorized
 
 __all__ = ["OperatorHandler", "operator_digests"]
 
@@ -38,7 +38,7 @@
         self,
         is_ready: Callable[[], bool],
         events: EntryEventLog,
-        status: Callable[[], NodeStatus],
+        status: Callable[[], ProcessStatus],
         digests: tuple[str, ...],
     ) -> None:
         super().__init__(is_ready, events.metrics.render)
@@ -52,7 +52,7 @@
         answer = answers.get(request.path)
         if answer is None:
             super().on_request(connection, request)
-        elif not shows_key(request.header(b"authorization") or b"", self._digests):
+        elif not is_operator_authorized(request.header(b"authorization") or b"", self._digests):
             connection.answer(401, [(b"www-authenticate", b"Bearer")], b"")
         else:
             headers = [(b"content-type", b"application/json")]
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -29,7 +29,7 @@
 from beryljunction.gateway.update_publisher import UpdatePublisher
 from beryljunction.gateway.update_receiver import UpdateReceiver
 from beryljunction.listening import open_listener
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.platform import (
     SETTINGS_VARIABLE,
     HostSettings,
@@ -134,10 +134,10 @@
             self._is_ready, self._events, lambda: self._status(frontend), digests
         )
 
-    def _status(self, frontend: CallerFrontend) -> NodeStatus:
+    def _status(self, frontend: CallerFrontend) -> ProcessStatus:
         state = self._state
         now_s = boot_time_s()
-        return NodeStatus(
+        return ProcessStatus(
             role="entry",
             host=self._host.host,
             availability_zone=self._host.availability_zone,
--- a/src/beryljunction/node/__init__.py
+++ b/src/beryljunction/node/__init__.py
@@ -6,7 +6,7 @@
 from beryljunction.node.process import FleetProcess
 from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 
 __all__ = [
     "HostResponses",
@@ -15,7 +15,7 @@
     "HostListCache",
     "FleetProcess",
     "ProcessRole",
-    "NodeStatus",
+    "ProcessStatus",
     "OperatorClient",
     "RoleContext",
     "SidecarRole",
--- a/src/beryljunction/node/client.py
+++ b/src/beryljunction/node/client.py
@@ -9,7 +9,7 @@
 import attrs
 import httpcore
 
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, NodeStatus
+from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus
 from beryljunction.stores import HostRow, HttpHostList
 from beryljunction.timeline import HLC_HEADER, Event, HybridClock
 from beryljunction.wire import DRAIN_PATH, Drain, decode, encode
@@ -61,11 +61,11 @@
         """
         return list((await self._hosts.fetch_changes(0, 0.0)).rows)
 
-    async def status(self, rows: list[HostRow]) -> HostResponses[NodeStatus]:
+    async def status(self, rows: list[HostRow]) -> HostResponses[ProcessStatus]:
         """Return the status of each process."""
 
-        async def ask(row: HostRow) -> NodeStatus:
-            return decode(await self._request(row, "GET", STATUS_PATH), NodeStatus)
+        async def ask(row: HostRow) -> ProcessStatus:
+            return decode(await self._request(row, "GET", STATUS_PATH), ProcessStatus)
 
         return await self._gather(rows, ask)
 
@@ -83,12 +83,12 @@
 
         return await self._gather(rows, ask)
 
-    async def drain(self, row: HostRow, leaving: bool) -> HostResponses[NodeStatus]:
+    async def drain(self, row: HostRow, leaving: bool) -> HostResponses[ProcessStatus]:
         """Drain a process, or end its drain if `leaving` is false."""
 
-        async def ask(row: HostRow) -> NodeStatus:
+        async def ask(row: HostRow) -> ProcessStatus:
             body = await self._request(row, "POST", DRAIN_PATH, encode(Drain(leaving)))
-            return decode(body, NodeStatus)
+            return decode(body, ProcessStatus)
 
         return await self._gather([row], ask)
 
--- a/src/beryljunction/node/entry_role.py
+++ b/src/beryljunction/node/entry_role.py
@@ -8,7 +8,7 @@
 
 from beryljunction.entry import EntryApp
 from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stores import HostRow
 from beryljunction.systems import ListedEndpoint
@@ -59,7 +59,7 @@
     def drain(self, leaving: bool) -> None:
         """Do nothing: the readiness probe informs the load balancer; callers are still served."""
 
-    def status(self, status: NodeStatus) -> NodeStatus:
+    def status(self, status: ProcessStatus) -> ProcessStatus:
         """Add the number of known endpoints."""
         return attrs.evolve(status, endpoints=len(self.endpoints))
 
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -13,7 +13,7 @@
 
 from beryljunction.errors import StartError
 from beryljunction.metrics import Metrics
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, NodeStatus, shows_key
+from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus, is_operator_authorized
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.settings import ProcessSettings
@@ -57,7 +57,7 @@
 
     def _has_operator_key(self, scope: Scope) -> bool:
         given: bytes = dict(scope["headers"]).get(b"authorization", b"")
-        return shows_key(given, self._digests)
+        return is_operator_authorized(given, self._digests)
 
 
 def operator_key_digests(process: ProcessSettings) -> tuple[str, ...]:
@@ -90,7 +90,7 @@
 def operator_app(
     timeline: Timeline,
     metrics: Metrics,
-    status: Callable[[], NodeStatus],
+    status: Callable[[], ProcessStatus],
     drain: Callable[[bool], None],
 ) -> Starlette:
     """Return the application of the operator listener.
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -21,7 +21,7 @@
 from beryljunction.node.roles import ProcessRole, RoleContext
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.node.traffic import CountingBackend
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.outcomes import Ran, Refusal, RefusalCode
 from beryljunction.servers import (
     Asgi,
@@ -45,7 +45,7 @@
     SidecarFile,
     serve_settings,
 )
-from beryljunction.stops import SETTLE_S, GracefulStop
+from beryljunction.stops import DRAIN_DELAY_S, GracefulStop
 from beryljunction.stores import HttpHostList, HttpLogClient
 from beryljunction.tls import TlsContexts
 
@@ -112,10 +112,10 @@
         make = functools.partial(SidecarRole, file, view)
         return cls(file.process, SidecarRole, make, view)
 
-    def status(self) -> NodeStatus:
+    def status(self) -> ProcessStatus:
         """Return the status of the process."""
         process = self.role.process
-        common = NodeStatus(
+        common = ProcessStatus(
             self.role.name,
             process.host,
             process.availability_zone,
@@ -166,7 +166,7 @@
         if process.log_address:
             background.start_soon(self._follower.run)
         if self._tls is not None:
-            background.start_soon(self._tls.follow, self.role.timeline)
+            background.start_soon(self._tls.reload_on_change, self.role.timeline)
 
     async def _serve(self, task_status: Any) -> None:
         async with anyio.create_task_group() as serving:
@@ -184,8 +184,8 @@
         during the wait: the load balancer needs a probe or two to notice the drain, and until then
         a refused caller would see an error for a planned stop.
         """
-        await anyio.sleep(SETTLE_S)
-        stop = GracefulStop(self.role.stoppable, [self.request_server], settle_s=0.0)
+        await anyio.sleep(DRAIN_DELAY_S)
+        stop = GracefulStop(self.role.stoppable, [self.request_server], drain_delay_s=0.0)
         stop.request()
         await stop.run()
 
--- a/src/beryljunction/node/roles.py
+++ b/src/beryljunction/node/roles.py
@@ -8,7 +8,7 @@
 import attrs
 import httpcore
 
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.servers import Asgi
 from beryljunction.settings import ProcessSettings, ResolvedSettings
 from beryljunction.stops import Stoppable
@@ -75,5 +75,5 @@
         """Start or end a drain; while draining, senders are told to send work elsewhere."""
 
     @abc.abstractmethod
-    def status(self, status: NodeStatus) -> NodeStatus:
+    def status(self, status: ProcessStatus) -> ProcessStatus:
         """Return the status with the role's own fields filled in."""
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -15,7 +15,7 @@
     handle_row_exchange,
 )
 from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
-from beryljunction.operators import NodeStatus
+from beryljunction.operators import ProcessStatus
 from beryljunction.servers import Receive, Scope, Send, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
@@ -116,7 +116,7 @@
         self._drained = leaving
         self._update_leaving()
 
-    def status(self, status: NodeStatus) -> NodeStatus:
+    def status(self, status: ProcessStatus) -> ProcessStatus:
         """Add the endpoint and its load."""
         own = self.sidecar.status()
         return attrs.evolve(
--- a/src/beryljunction/operators.py
+++ b/src/beryljunction/operators.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-__all__ = ["EVENTS_PATH", "STATUS_PATH", "NodeStatus", "shows_key"]
+__all__ = ["EVENTS_PATH", "STATUS_PATH", "ProcessStatus", "is_operator_authorized"]
 
 STATUS_PATH = "/beryl/v1/status"
 EVENTS_PATH = "/beryl/v1/events"
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class NodeStatus:
+class ProcessStatus:
     """Status of a process, as reported to operators.
 
     Attributes:
@@ -56,7 +56,7 @@
     cold_endpoints: int = 0
 
 
-def shows_key(authorization: bytes, digests: tuple[str, ...]) -> bool:
+def is_operator_authorized(authorization: bytes, digests: tuple[str, ...]) -> bool:
     """Return whether an authorization header contains a valid operator key.
 
     Args:
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -136,7 +136,7 @@
         """Number of runs that wait, run or are kept for a reader that may reconnect."""
         return len(self.runs)
 
-    def refuse_new(self) -> None:
+    def start_draining(self) -> None:
         """Refuse new requests; admitted ones continue."""
         self._control.stopping = True
         self.admission.leaving = True
--- a/src/beryljunction/stops.py
+++ b/src/beryljunction/stops.py
@@ -12,12 +12,12 @@
 
 from beryljunction.servers import Server
 
-__all__ = ["SETTLE_S", "GracefulStop", "Stoppable"]
+__all__ = ["DRAIN_DELAY_S", "GracefulStop", "Stoppable"]
 
 # A load balancer or entry that has not noticed the stop would send its next request to a closed
 # port and could not tell whether it arrived. Within this time each has been refused once ("not
 # run") or has seen the readiness probe fail; the requirements allow a few seconds.
-SETTLE_S = 3.0
+DRAIN_DELAY_S = 3.0
 _POLL_INTERVAL_S = 0.05
 
 
@@ -30,7 +30,7 @@
         """Number of requests that a stop must not interrupt."""
 
     @abc.abstractmethod
-    def refuse_new(self) -> None:
+    def start_draining(self) -> None:
         """Refuse new requests as "not run" from now on; further calls have no effect."""
 
     @abc.abstractmethod
@@ -46,24 +46,24 @@
     """
 
     def __init__(
-        self, part: Stoppable, servers: Iterable[Server] = (), settle_s: float = SETTLE_S
+        self, app: Stoppable, servers: Iterable[Server] = (), drain_delay_s: float = DRAIN_DELAY_S
     ) -> None:
-        self._part = part
+        self._app = app
         self._servers = tuple(servers)
-        self._settle_s = settle_s
+        self._drain_delay_s = drain_delay_s
         self._requested = anyio.Event()
 
     def request(self) -> None:
         """Start the stop; new requests are refused immediately."""
-        self._part.refuse_new()
+        self._app.start_draining()
         self._requested.set()
 
     async def run(self) -> None:
         """Wait until a stop is requested, then perform it."""
         await self._requested.wait()
-        await anyio.sleep(self._settle_s)
-        while self._part.in_flight:
+        await anyio.sleep(self._drain_delay_s)
+        while self._app.in_flight:
             await anyio.sleep(_POLL_INTERVAL_S)
-        await self._part.hand_over()
+        await self._app.hand_over()
         for server in self._servers:
             server.stop()
--- a/src/beryljunction/tls.py
+++ b/src/beryljunction/tls.py
@@ -23,7 +23,7 @@
 
     Args:
         settings: Paths of certificate, key and the authority that signs the fleet's certificates.
-        is_mutual: Whether the listener for requests accepts only clients with a certificate of
+        requires_client_certificate: Whether the listener for requests accepts only clients with a certificate of
             that authority. An entry's callers have none; they authenticate with an API key.
 
     Attributes:
@@ -33,14 +33,14 @@
         StartError: When the files can't be used.
     """
 
-    def __init__(self, settings: TlsSettings, is_mutual: bool) -> None:
-        if is_mutual and settings.authority_path is None:
+    def __init__(self, settings: TlsSettings, requires_client_certificate: bool) -> None:
+        if requires_client_certificate and settings.authority_path is None:
             raise StartError("process.tls.authority_path: expected a path, got none")
         self._settings = settings
         self.server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         self.operator = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         self.client = client_context()
-        if is_mutual:
+        if requires_client_certificate:
             self.server.verify_mode = ssl.CERT_REQUIRED
         self._signatures = self._read_signatures()
         try:
@@ -48,7 +48,7 @@
         except OSError as error:
             raise StartError(f"process.tls: expected usable PEM files, got {error}") from error
 
-    def read_again(self) -> str | None:
+    def reload(self) -> str | None:
         """Reload the files if they have changed.
 
         Returns:
@@ -64,12 +64,12 @@
         self._signatures = signatures
         return ""
 
-    async def follow(self, timeline: Timeline) -> None:
+    async def reload_on_change(self, timeline: Timeline) -> None:
         """Reload the files whenever they change, until cancelled."""
         last = None
         while True:
             await anyio.sleep(_RELOAD_INTERVAL_S)
-            problem = self.read_again()
+            problem = self.reload()
             if problem is not None and problem != last:
                 timeline.add("tls_unreadable" if problem else "tls_renewed", detail=problem)
             last = problem
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -328,7 +328,7 @@
             for _ in range(2):
                 await path.sidecar(ScriptedEngine(), address=await path.breaking_endpoint())
             entry = await path.entry()
-            path.sidecars[0].refuse_new()
+            path.sidecars[0].start_draining()
             answers = [await send_request(path, entry, body=chat(stream=False)) for _ in range(6)]
 
         said = {error_of(answer)["ran"] for answer in answers}
@@ -438,7 +438,7 @@
             for _ in range(4):
                 await send_request(path, entry, "/services/ledger/n", body=b"{}")
             before = sum(len(engine.runs) for engine in engines)
-            sidecars[0].refuse_new()
+            sidecars[0].start_draining()
             gone = len(engines[0].runs)
 
             answers = [
@@ -456,7 +456,7 @@
         async with path_of() as path:
             engines = [ScriptedEngine(), ScriptedEngine()]
             sidecars = [await path.sidecar(engine, "ledger") for engine in engines]
-            sidecars[0].refuse_new()
+            sidecars[0].start_draining()
 
             entries = [await path.entry() for _ in range(6)]
             answers = [
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -168,7 +168,7 @@
         return int(successor.endpoint_id[-1])
 
     async def stop(self, times=1):
-        stop = GracefulStop(self.leaving, settle_s=0.0)
+        stop = GracefulStop(self.leaving, drain_delay_s=0.0)
         for _ in range(times):
             stop.request()
         await stop.run()
@@ -240,7 +240,7 @@
             async with anyio.create_task_group() as group, engine.inner.slots.hold(0):
                 group.start_soon(ask)
                 await eventually(lambda: engine.inner.runs)
-                fleet.leaving.refuse_new()
+                fleet.leaving.start_draining()
                 await fleet.leaving.prefix_sender.transfer_remaining()
                 early = EXPORT in engine.calls
             await fleet.leaving.hand_over()
@@ -295,7 +295,7 @@
         async with path_of() as path:
             fleet = await Fleet(path).start()
             path.sidecars[fleet.successor_number].admission.leaving = True
-            fleet.leaving.refuse_new()
+            fleet.leaving.start_draining()
             await fleet.leaving.prefix_sender.transfer_remaining()
             exports = fleet.engines[0].calls.count(EXPORT)
             for key in (
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -308,7 +308,7 @@
         async with path_of() as path:
             path.engine = ScriptedEngine()
             app = await path.sidecar(path.engine)
-            app.refuse_new()
+            app.start_draining()
             first = ticket_request(app, candidates=("drafter-1/other/5",))
 
             responses = [await path.run(first, b"{}")]
--- a/testing/test_stops.py
+++ b/testing/test_stops.py
@@ -36,7 +36,7 @@
     def in_flight(self):
         return self.left
 
-    def refuse_new(self):
+    def start_draining(self):
         self.steps.append("refuse")
 
     async def hand_over(self):
@@ -46,7 +46,7 @@
 class TestGracefulStop:
     async def test_waits_for_requests_in_flight_then_hands_over_once(self):
         part = FakeStoppable()
-        stop = GracefulStop(part, settle_s=0.0)
+        stop = GracefulStop(part, drain_delay_s=0.0)
         async with anyio.create_task_group() as group:
             group.start_soon(stop.run)
             stop.request()
@@ -64,7 +64,7 @@
         async with path_of() as path:
             engine = ScriptedEngine(hold_at=2)
             app = await path.sidecar(engine)
-            stop = GracefulStop(app, [path.servers[-1]], settle_s=0.0)
+            stop = GracefulStop(app, [path.servers[-1]], drain_delay_s=0.0)
             path.group.start_soon(stop.run)
             async with path.open_run(STREAM):
                 await eventually(lambda: app.runs.get("r1").log.last_sequence == 2)
@@ -110,7 +110,7 @@
             async with path.open_run(STREAM):
                 await eventually(lambda: app.runs.get("r1").log.last_sequence == 2)
 
-            app.refuse_new()
+            app.start_draining()
             await eventually(lambda: app.runs.get("r1").readers == [])
 
             assert app.in_flight == 1
@@ -126,7 +126,7 @@
             await path.sidecar(engine)
             entry = await path.entry()
             app = path.entry_app
-            stop = GracefulStop(app, [path.servers[-1]], settle_s=0.0)
+            stop = GracefulStop(app, [path.servers[-1]], drain_delay_s=0.0)
             answers = []
 
             async def ask():
@@ -163,7 +163,7 @@
     ):
         async with path_of() as path:
             entry = await path.entry()
-            path.entry_app.refuse_new()
+            path.entry_app.start_draining()
             answer = await path.pool.request(method, entry + target, headers=[AUTH, header])
 
         assert (error_of(answer)["code"], error_of(answer)["ran"]) == (
--- a/testing/test_tls.py
+++ b/testing/test_tls.py
@@ -72,14 +72,14 @@
 
 class TestTlsContexts:
     def test_fleet_processes_can_connect_to_each_other(self):
-        contexts = TlsContexts(settings_of("host-a"), is_mutual=True)
-        other = TlsContexts(settings_of("host-a-renewed"), is_mutual=True)
+        contexts = TlsContexts(settings_of("host-a"), requires_client_certificate=True)
+        other = TlsContexts(settings_of("host-a-renewed"), requires_client_certificate=True)
 
         assert ask(contexts.server, other.client) == [b"hello"]
 
     @pytest.mark.parametrize("case", ["stranger", "no-certificate"])
     def test_rejects_clients_without_a_certificate_of_the_authority(self, case):
-        contexts = TlsContexts(settings_of("host-a"), is_mutual=True)
+        contexts = TlsContexts(settings_of("host-a"), requires_client_certificate=True)
         client = ssl.create_default_context(cafile=CERTIFICATES / "fleet-authority.pem")
         client.check_hostname = False
         if case == "stranger":
@@ -91,20 +91,22 @@
         assert issubclass(answer, (httpcore.NetworkError, httpcore.ProtocolError))
 
     def test_rejects_servers_without_a_certificate_of_the_authority(self):
-        stranger = TlsContexts(settings_of("stranger", "other-authority"), is_mutual=False)
-        client = TlsContexts(settings_of("host-a"), is_mutual=True).client
+        stranger = TlsContexts(
+            settings_of("stranger", "other-authority"), requires_client_certificate=False
+        )
+        client = TlsContexts(settings_of("host-a"), requires_client_certificate=True).client
 
         assert ask(stranger.server, client) == [httpcore.ConnectError]
 
     def test_renewed_certificate_is_used_without_a_restart(self, tmp_path):
-        contexts = TlsContexts(install(tmp_path, "host-a"), is_mutual=False)
+        contexts = TlsContexts(install(tmp_path, "host-a"), requires_client_certificate=False)
         before = serial_of(contexts.server)
 
         install(tmp_path, "host-a-renewed")
-        problem = contexts.read_again()
+        problem = contexts.reload()
 
         assert problem == ""
-        assert contexts.read_again() is None
+        assert contexts.reload() is None
         assert serial_of(contexts.server) != before
 
     def test_half_renewed_files_leave_the_old_certificate_in_use(self, tmp_path):
@@ -112,18 +114,21 @@
 
         The process must keep the old pair, report the mismatch, and load the new pair next time.
         """
-        contexts = TlsContexts(install(tmp_path, "host-a"), is_mutual=False)
+        contexts = TlsContexts(install(tmp_path, "host-a"), requires_client_certificate=False)
         before = serial_of(contexts.server)
 
         shutil.copyfile(CERTIFICATES / "host-a-renewed.pem", tmp_path / "host.pem")
-        problem = contexts.read_again()
+        problem = contexts.reload()
         between = serial_of(contexts.server)
         install(tmp_path, "host-a-renewed")
 
         assert "mismatch" in problem.lower()
         assert between == before
-        assert contexts.read_again() == ""
+        assert contexts.reload() == ""
 
     def test_unusable_files_fail_the_start(self, tmp_path):
         with pytest.raises(StartError, match="expected a readable file"):
-            TlsContexts(TlsSettings(str(tmp_path / "none.pem"), "none.key"), is_mutual=False)
+            TlsContexts(
+                TlsSettings(str(tmp_path / "none.pem"), "none.key"),
+                requires_client_certificate=False,
+            )
