--- a/src/beryljunction/__init__.py
+++ b/src/beryljunction/__init__.py
@@ -15,13 +15,13 @@
         SettingsError,
         StartError,
     )
-    from beryljunction.outcomes import Ran, Refusal, RefusalCode
+    from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 
 __all__ = [
     "BerylError",
     "InvariantError",
     "PlatformUnavailableError",
-    "Ran",
+    "ExecutionStatus",
     "Refusal",
     "RefusalCode",
     "SettingsError",
--- a/src/beryljunction/bench/policy/world.py
+++ b/src/beryljunction/bench/policy/world.py
@@ -11,7 +11,7 @@
 from beryljunction.bench.policy.fakes import FakeEngine
 from beryljunction.bench.policy.policies import Policy
 from beryljunction.bench.policy.scenarios import DEADLINE_S, Call, Fault, Scenario, Size
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import (
     AdmissionController,
     AdmissionRefused,
@@ -149,7 +149,9 @@
         """Lose everything; connections break."""
         self.is_up = False
         self.incarnation += 1
-        broken = Refusal(RefusalCode.OUTCOME_UNKNOWN, "the connection broke", Ran.UNKNOWN)
+        broken = Refusal(
+            RefusalCode.OUTCOME_UNKNOWN, "the connection broke", ExecutionStatus.UNKNOWN
+        )
         for asked, number in self.asked.values():
             self._answer(asked, number, broken)
 
@@ -174,7 +176,7 @@
         asked.starts += 1
         asked.runs += 1
         asked.started_s = now_s
-        asked.false_not_run |= asked.refusal is not None and asked.refusal.ran is Ran.NO
+        asked.false_not_run |= asked.refusal is not None and asked.refusal.ran is ExecutionStatus.NO
         ready_s, asked.cached_tokens = self.engine.start(call.chat, call.prompt_tokens, now_s)
         self.world.watch(self)
         self.later(ready_s - now_s, self._first_token, asked)
@@ -282,7 +284,9 @@
         if asked.try_number != number:
             return
         now_s = self._world.now_s
-        failed = refusal is not None and refusal.load is None and refusal.ran is Ran.UNKNOWN
+        failed = (
+            refusal is not None and refusal.load is None and refusal.ran is ExecutionStatus.UNKNOWN
+        )
         if failed or (refusal is not None and refusal.code is RefusalCode.ENDPOINT_FAILED):
             self._membership.note_failure(sidecar.name, now_s)
         else:
@@ -315,8 +319,8 @@
             return
         self._settle(asked)
         asked.refusal = step.refusal
-        asked.false_not_run |= step.refusal.ran is Ran.NO and asked.starts > 0
-        may_repeat = asked.call.chat is not None or step.refusal.ran is Ran.NO
+        asked.false_not_run |= step.refusal.ran is ExecutionStatus.NO and asked.starts > 0
+        may_repeat = asked.call.chat is not None or step.refusal.ran is ExecutionStatus.NO
         retry_s = step.refusal.retry_after_s
         if may_repeat and retry_s is not None and asked.resends < _MOST_RESENDS:
             asked.resends += 1
@@ -325,7 +329,7 @@
     def _arrive(self, asked: Asked, number: int, step: Try, sidecar: FakeSidecar) -> None:
         held_s = sidecar.paused_until_s - self._world.now_s
         if not sidecar.is_up:
-            refused = Refusal(RefusalCode.ENDPOINT_FAILED, "no connection", Ran.NO, 1.0)
+            refused = Refusal(RefusalCode.ENDPOINT_FAILED, "no connection", ExecutionStatus.NO, 1.0)
             self._world.send(self.answered, asked, number, refused, sidecar)
         elif held_s > 0.0:
             sidecar.later(held_s, sidecar.receive, asked, number, step)
@@ -346,7 +350,9 @@
             self._world.at(_SILENCE_S, self._silent, asked, number, sidecar)
             return
         sidecar.later(sidecar.paused_until_s - self._world.now_s, sidecar.cancel, asked, number)
-        silent = Refusal(RefusalCode.OUTCOME_UNKNOWN, "the sidecar fell silent", Ran.UNKNOWN)
+        silent = Refusal(
+            RefusalCode.OUTCOME_UNKNOWN, "the sidecar fell silent", ExecutionStatus.UNKNOWN
+        )
         self.answered(asked, number, silent, sidecar)
 
     def _order(self, rows: list[Endpoint]) -> list[Endpoint]:
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -17,7 +17,7 @@
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER, ResponseWriter
 from beryljunction.idle_timeouts import IdleTimeouts
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stops import Stoppable
@@ -251,7 +251,7 @@
         endpoint = self.endpoints.get(name.endpoint_id)
         if endpoint is None:
             message = f"expected a live endpoint, got {name.endpoint_id!r}; ask anew"
-            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
         context.response_writer.request_id = name.request_id
         attach = Attach(name.request_id, context.account, after=after, resume=True)
         silence_s = self.view.services[endpoint.service].silence_s
@@ -272,13 +272,15 @@
     another entry, so its outcome is unknown. This attempt itself is known not to have run.
     """
     if scope["path"].startswith(_STREAMS_PREFIX):
-        return Refusal(code, message, Ran.UNKNOWN, retry_after_s)
+        return Refusal(code, message, ExecutionStatus.UNKNOWN, retry_after_s)
     if _EARLIER_REQUEST_HEADERS.isdisjoint(name for name, _ in scope["headers"]):
-        return Refusal(code, message, Ran.NO, retry_after_s)
-    return Refusal(code, message, Ran.UNKNOWN, retry_after_s, try_ran=Ran.NO)
+        return Refusal(code, message, ExecutionStatus.NO, retry_after_s)
+    return Refusal(
+        code, message, ExecutionStatus.UNKNOWN, retry_after_s, try_ran=ExecutionStatus.NO
+    )
 
 
 def _not_run_refusal(
     code: RefusalCode, message: str, retry_after_s: float | None = None
 ) -> Refusal:
-    return Refusal(code, message, Ran.NO, retry_after_s)
+    return Refusal(code, message, ExecutionStatus.NO, retry_after_s)
--- a/src/beryljunction/entry/callers.py
+++ b/src/beryljunction/entry/callers.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.settings import AccountSettings, ResolvedSettings
 
 __all__ = ["ApiKeyIndex", "ClientRequest", "parse_chat_request", "parse_plain_request"]
@@ -69,7 +69,7 @@
         name = self._names_by_digest.get(digest)
         if name is None or not given.startswith(_BEARER):
             message = "expected a known API key as 'Authorization: Bearer KEY'"
-            return Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
+            return Refusal(RefusalCode.UNAUTHENTICATED, message, ExecutionStatus.NO)
         return name
 
 
@@ -87,7 +87,7 @@
     service = view.service_of_model(data["model"])
     if service is None:
         message = f"model: expected one that is served here, got {data['model']!r}"
-        return Refusal(RefusalCode.NOT_FOUND, message, Ran.NO)
+        return Refusal(RefusalCode.NOT_FOUND, message, ExecutionStatus.NO)
     return ClientRequest(
         service=service,
         body=body,
@@ -114,7 +114,9 @@
     """Validate a call of a plain service; method, path, headers and body are forwarded."""
     settings = view.services.get(service)
     if settings is None or settings.kind != "plain":
-        return Refusal(RefusalCode.NOT_FOUND, f"expected a plain service, got {service!r}", Ran.NO)
+        return Refusal(
+            RefusalCode.NOT_FOUND, f"expected a plain service, got {service!r}", ExecutionStatus.NO
+        )
     passed = tuple(
         (key.decode("latin-1"), value.decode("latin-1"))
         for key, value in headers
@@ -151,4 +153,4 @@
 
 
 def _bad_request_refusal(message: str) -> Refusal:
-    return Refusal(RefusalCode.BAD_REQUEST, message, Ran.NO)
+    return Refusal(RefusalCode.BAD_REQUEST, message, ExecutionStatus.NO)
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -16,7 +16,7 @@
     SidecarResponse,
 )
 from beryljunction.entry.writers import ResponseWriter
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamId
 from beryljunction.tables import Endpoint
 from beryljunction.wire import Attach, Cancel, Envelope, Outcome, decode_refusal
@@ -88,7 +88,7 @@
         except CONNECT_ERRORS:
             self._note_failure()
             message = "the endpoint's sidecar did not take the connection"
-            return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
+            return Refusal(RefusalCode.ENDPOINT_FAILED, message, ExecutionStatus.NO, 1.0)
         return await self._finish(step)
 
     async def resume(self, stream: StreamId) -> Refusal | None:
@@ -126,7 +126,7 @@
         """End an open stream with an error event; otherwise return the refusal for a retry."""
         if not self._writer.streaming:
             return refusal
-        broken = Refusal(RefusalCode.INCOMPLETE, refusal.message, Ran.YES)
+        broken = Refusal(RefusalCode.INCOMPLETE, refusal.message, ExecutionStatus.YES)
         await self._writer.send_error(broken)
         return None
 
@@ -168,7 +168,7 @@
         if answer.outcome is Outcome.STREAM and answer.name is not None:
             if not answer.name.can_resume(self._resumed):
                 message = "expected a stream that is still kept; its sidecar has started anew"
-                return Refusal(RefusalCode.NOT_FOUND, message, Ran.UNKNOWN)
+                return Refusal(RefusalCode.NOT_FOUND, message, ExecutionStatus.UNKNOWN)
             return await self._read_stream(answer, answer.name)
         if answer.outcome is None:
             return _Reattach(failed=True)
@@ -207,7 +207,7 @@
 
     def _unknown_outcome(self) -> Refusal:
         message = "the connection to the sidecar broke and could not be taken up again"
-        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
 
     def _note_failure(self) -> None:
         self._client.note_failure(self.endpoint)
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -11,7 +11,7 @@
 from beryljunction.entry.tickets import TicketRouter
 from beryljunction.entry.tries import AttemptRunner
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import (
     EndpointSelector,
@@ -84,7 +84,7 @@
         if ticket is not None:
             return ticket
         message = "expected a sidecar that gives tickets, found none; retry later"
-        return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0)
+        return Refusal(RefusalCode.NO_ENDPOINT, message, ExecutionStatus.NO, 1.0)
 
     async def _route_repeatable(
         self, context: RequestContext, envelope: Envelope, body: bytes, query: PlacementQuery
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/tickets.py
@@ -8,7 +8,7 @@
 from beryljunction.entry.sidecars import SidecarClient
 from beryljunction.entry.tries import AttemptRunner
 from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import (
     GiveUp,
     KeyUnavailable,
@@ -120,7 +120,13 @@
         ticket = await self.fetch(candidates, envelope.account)
         if ticket is None:
             message = "expected a sidecar that gives tickets, found none; retry with the same key"
-            return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.UNKNOWN, 1.0, try_ran=Ran.NO)
+            return Refusal(
+                RefusalCode.NO_ENDPOINT,
+                message,
+                ExecutionStatus.UNKNOWN,
+                1.0,
+                try_ran=ExecutionStatus.NO,
+            )
         digest = key_digest(envelope.account, envelope.service, key)
         shard = claim_shard(digest, IDEMPOTENCY_KEY_SHARDS)
         request = body_digest(envelope.method.encode(), envelope.path.encode(), body)
@@ -175,16 +181,16 @@
         """Return the endpoint that the ticket is bound to, or a refusal."""
         if ticket is None:
             message = "the endpoint's sidecar gave no ticket"
-            return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
+            return Refusal(RefusalCode.ENDPOINT_FAILED, message, ExecutionStatus.NO, 1.0)
         parsed = self._mint.read(ticket)
         if parsed is None:
             message = "expected a ticket as POST /v1/tickets gives it"
-            return Refusal(RefusalCode.TICKET_INVALID, message, Ran.NO)
+            return Refusal(RefusalCode.TICKET_INVALID, message, ExecutionStatus.NO)
         endpoint = self._endpoints.get(parsed.stamp.endpoint_id)
         if endpoint is None:
             message = "the endpoint of this ticket is gone; look up the outcome before asking again"
-            return Refusal(RefusalCode.TICKET_INVALID, message, Ran.UNKNOWN)
+            return Refusal(RefusalCode.TICKET_INVALID, message, ExecutionStatus.UNKNOWN)
         if endpoint.service != service:
             message = f"expected a ticket for {service!r}, got one for {endpoint.service!r}"
-            return Refusal(RefusalCode.TICKET_INVALID, message, Ran.NO)
+            return Refusal(RefusalCode.TICKET_INVALID, message, ExecutionStatus.NO)
         return endpoint
--- a/src/beryljunction/fuzz/entries.py
+++ b/src/beryljunction/fuzz/entries.py
@@ -22,7 +22,7 @@
 )
 from beryljunction.fuzz.oracle import Asked, Kind, Oracle
 from beryljunction.fuzz.sidecars import SERVICE
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamId, parse_event_id
 from beryljunction.systems import (
     EndpointSelector,
@@ -177,7 +177,9 @@
         now_s = self._clock()
         for row in self._rows():
             if now_s - row.asked.began_s >= _REQUEST_S:
-                refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "no answer in time", Ran.UNKNOWN)
+                refusal = Refusal(
+                    RefusalCode.OUTCOME_UNKNOWN, "no answer in time", ExecutionStatus.UNKNOWN
+                )
                 self._refuse(row, refusal)
             elif now_s - row.heard_from_s >= _SILENCE_S:
                 self._silent(row)
@@ -220,7 +222,9 @@
         assert ticket is not None
         row.is_last_resort = step.last_resort
         if self.endpoints.get(ticket.stamp.endpoint_id) is None:
-            refusal = Refusal(RefusalCode.TICKET_INVALID, "its endpoint is gone", Ran.UNKNOWN)
+            refusal = Refusal(
+                RefusalCode.TICKET_INVALID, "its endpoint is gone", ExecutionStatus.UNKNOWN
+            )
             self._after(row, refusal)
             return
         self._try(row, ticket.stamp.endpoint_id)
@@ -234,7 +238,9 @@
         row.is_sent = False
         row.checker = None
         if not self._is_up(endpoint_id):
-            self._after(row, Refusal(RefusalCode.ENDPOINT_FAILED, "refused", Ran.NO, 1.0))
+            self._after(
+                row, Refusal(RefusalCode.ENDPOINT_FAILED, "refused", ExecutionStatus.NO, 1.0)
+            )
         elif self._has_heard(endpoint_id):
             self._send(row)
         else:
@@ -296,7 +302,9 @@
         elif not row.is_sent:
             self._call(row, HelloCall())
         elif not self._is_up(row.endpoint_id):
-            refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "its sidecar is gone", Ran.UNKNOWN)
+            refusal = Refusal(
+                RefusalCode.OUTCOME_UNKNOWN, "its sidecar is gone", ExecutionStatus.UNKNOWN
+            )
             self._after(row, refusal)
         else:
             last = row.after
@@ -309,7 +317,7 @@
 
     def _frames(self, row: _Open, frames: FramesReply) -> None:
         if not frames.name.can_resume(row.resumed):
-            self._refuse(row, Refusal(RefusalCode.NOT_FOUND, "not kept", Ran.UNKNOWN))
+            self._refuse(row, Refusal(RefusalCode.NOT_FOUND, "not kept", ExecutionStatus.UNKNOWN))
             return
         if row.checker is None:
             row.checker = SequenceChecker(frames.name, row.after)
@@ -342,7 +350,7 @@
         if row.is_claiming:
             self._refuse(row, refusal)
             return
-        if refusal.ran is Ran.NO:
+        if refusal.ran is ExecutionStatus.NO:
             self._oracle.denied(row.try_id)
         self._after(row, refusal)
 
@@ -351,7 +359,7 @@
         if row.is_claiming:
             self._to_home(row)
         elif row.has_frames:
-            self._refuse(row, Refusal(RefusalCode.INCOMPLETE, refusal.message, Ran.YES))
+            self._refuse(row, Refusal(RefusalCode.INCOMPLETE, refusal.message, ExecutionStatus.YES))
         elif row.attempts is None:
             self._refuse(row, refusal)
         elif isinstance(row.attempts, TicketAttempts):
--- a/src/beryljunction/fuzz/oracle.py
+++ b/src/beryljunction/fuzz/oracle.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.streams import DONE
 
 __all__ = ["Asked", "EngineRun", "Kind", "Operation", "Oracle"]
@@ -67,8 +67,8 @@
     body: str
     began_s: float
     ended_s: float | None = None
-    ran: Ran | None = None
-    try_ran: Ran | None = None
+    ran: ExecutionStatus | None = None
+    try_ran: ExecutionStatus | None = None
     answer: bytes | None = None
     received: bytes = b""
 
@@ -144,7 +144,7 @@
         run = EngineRun(len(self.runs), asked, try_id, body, now_s, text)
         if try_id in self._denied:
             self._broken(f"try {try_id} was called not run, then ran")
-        if asked.try_ran is Ran.NO:
+        if asked.try_ran is ExecutionStatus.NO:
             self._broken(f"{request_id} was told no of itself, then ran")
         operation = asked.operation
         if operation.kind is not Kind.IDEMPOTENT and self._runs_of(asked):
@@ -177,15 +177,15 @@
         if refusal.code in _INTERNAL:
             self._broken(f"{asked.request_id} was told {refusal.code}")
         for run in self._runs_of(asked):
-            if refusal.try_ran is Ran.NO and run.asked is asked:
+            if refusal.try_ran is ExecutionStatus.NO and run.asked is asked:
                 self._broken(f"{asked.request_id} was told no of itself, but ran")
-            if refusal.ran is Ran.NO and self._is_false(asked, run):
+            if refusal.ran is ExecutionStatus.NO and self._is_false(asked, run):
                 self._broken(f"{asked.request_id} was told no, but {run.asked.request_id} ran")
 
     def answered(self, asked: Asked, answer: bytes, now_s: float) -> None:
         """Note a whole answer and check that it is whole and the caller's own."""
         asked.answer = answer
-        self._end(asked, Ran.YES, now_s)
+        self._end(asked, ExecutionStatus.YES, now_s)
         known = [b"".join(run.chunks) for run in self._own_runs_of(asked)]
         if answer not in known:
             self._broken(f"{asked.request_id} got {answer!r}, expected one of {known!r}")
@@ -208,7 +208,7 @@
 
     def _makes_false(self, told: Asked, run: EngineRun) -> bool:
         """Whether a run that starts now makes an earlier "no" false."""
-        if told.ran is not Ran.NO or told.operation is not run.asked.operation:
+        if told.ran is not ExecutionStatus.NO or told.operation is not run.asked.operation:
             return False
         if told.body != run.body or told.account != run.asked.account:
             return False
@@ -238,7 +238,7 @@
             if run.body == asked.body and run.asked.account == asked.account
         ]
 
-    def _end(self, asked: Asked, ran: Ran, now_s: float) -> None:
+    def _end(self, asked: Asked, ran: ExecutionStatus, now_s: float) -> None:
         if asked.ended_s is not None:
             self._broken(f"{asked.request_id} was answered twice")
         asked.ended_s = now_s
--- a/src/beryljunction/fuzz/sidecars.py
+++ b/src/beryljunction/fuzz/sidecars.py
@@ -22,7 +22,7 @@
     RunCall,
 )
 from beryljunction.fuzz.oracle import EngineRun, Oracle
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.streams import DONE, FrameNumberer, ReplayBuffer, StreamId, parse_event_id
 from beryljunction.systems import (
     AdmissionController,
@@ -202,7 +202,7 @@
 
     def break_engine(self, job: Job) -> None:
         """Let the connection to the engine break after the work has begun there."""
-        ran = Ran.YES if job.produced else Ran.UNKNOWN
+        ran = ExecutionStatus.YES if job.produced else ExecutionStatus.UNKNOWN
         code = RefusalCode.INCOMPLETE if job.produced else RefusalCode.ENDPOINT_FAILED
         refusal = Refusal(code, "the connection to the endpoint broke", ran)
         if job.serial is not None:
@@ -212,7 +212,9 @@
     def _run(self, call: RunCall, reader: tuple[str, int]) -> None:
         heard_age_s = call.heard_age_s
         if call.idempotent and self.tombstones.has_other_incarnation(call.heard):
-            refusal = Refusal(RefusalCode.STALE_STAMP, "an earlier start", Ran.UNKNOWN, 0.0)
+            refusal = Refusal(
+                RefusalCode.STALE_STAMP, "an earlier start", ExecutionStatus.UNKNOWN, 0.0
+            )
             self._reply(reader, RefusalReply(self._stamp(), refusal))
             return
         arrival = self.tombstones.arrive(call.try_id, call.heard, heard_age_s, self.now_s)
@@ -304,13 +306,15 @@
         return self.admission.leaving
 
     def _start(self, job: Job) -> None:
-        late = Refusal(RefusalCode.DEADLINE, "its deadline passed", Ran.NO)
+        late = Refusal(RefusalCode.DEADLINE, "its deadline passed", ExecutionStatus.NO)
         if job.serial is not None and not self.ledger.start(job.serial, self.now_s):
             self._give_up(job, late)
             return
         if self.engine_refuses:
             self.engine_refuses = False
-            refusal = Refusal(RefusalCode.ENDPOINT_FAILED, "connection refused", Ran.NO, 1.0)
+            refusal = Refusal(
+                RefusalCode.ENDPOINT_FAILED, "connection refused", ExecutionStatus.NO, 1.0
+            )
             if job.serial is not None:
                 self.ledger.fail(job.serial, refusal)
             self._give_up(job, refusal)
@@ -369,10 +373,10 @@
         """Give a caller that came back the rest of its stream; its older readers are gone."""
         job = self.jobs.get(call.try_id)
         if job is None or job.call.account != call.resumed_by or not job.call.streamed:
-            refusal = Refusal(RefusalCode.NOT_FOUND, "not kept", Ran.UNKNOWN)
+            refusal = Refusal(RefusalCode.NOT_FOUND, "not kept", ExecutionStatus.UNKNOWN)
             self._reply(reader, RefusalReply(self._stamp(), refusal))
         elif not job.frames.can_resume_after(call.last):
-            refusal = Refusal(RefusalCode.INCOMPLETE, "no longer kept", Ran.YES)
+            refusal = Refusal(RefusalCode.INCOMPLETE, "no longer kept", ExecutionStatus.YES)
             self._reply(reader, RefusalReply(self._stamp(), refusal))
         else:
             job.readers.clear()
@@ -388,9 +392,9 @@
         if asked is OutcomeAnswer.SEEN and job is not None:
             self._join(job, reader, call.last)
             return
-        refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "not known here", Ran.UNKNOWN)
+        refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "not known here", ExecutionStatus.UNKNOWN)
         if asked is OutcomeAnswer.NOT_RUN:
-            refusal = Refusal(RefusalCode.ENDPOINT_FAILED, "never arrived", Ran.NO)
+            refusal = Refusal(RefusalCode.ENDPOINT_FAILED, "never arrived", ExecutionStatus.NO)
         self._reply(reader, RefusalReply(self._stamp(), refusal))
 
     def _join(self, job: Job | None, reader: tuple[str, int], last: int) -> None:
@@ -435,10 +439,12 @@
 
 def _not_taken(arrival: Arrival, is_idempotent: bool) -> Refusal:
     if arrival is Arrival.TOO_OLD:
-        return Refusal(RefusalCode.OUTCOME_UNKNOWN, "arrived too late to tell", Ran.UNKNOWN)
+        return Refusal(
+            RefusalCode.OUTCOME_UNKNOWN, "arrived too late to tell", ExecutionStatus.UNKNOWN
+        )
     # The ticket has not been looked at, so the refusal speaks of this try alone.
     code = RefusalCode.OVERLOADED if is_idempotent else RefusalCode.STALE_STAMP
-    return Refusal(code, "arrived too late", Ran.NO, 1.0)
+    return Refusal(code, "arrived too late", ExecutionStatus.NO, 1.0)
 
 
 def _name_of(frames: bytes) -> StreamId:
--- a/src/beryljunction/fuzz/world.py
+++ b/src/beryljunction/fuzz/world.py
@@ -6,7 +6,7 @@
 from beryljunction.fuzz.network import AppendCall, AppendReply, Broken, Message, Network
 from beryljunction.fuzz.oracle import Asked, Kind, Operation, Oracle
 from beryljunction.fuzz.sidecars import SERVICE, Job, Limits, Sidecar
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import TicketMint
 from beryljunction.tables import Endpoint, EndpointState
 
@@ -219,7 +219,9 @@
         old = self.entries.pop(name, None)
         self._paused.pop(name, None)
         if old is not None:
-            refusal = Refusal(RefusalCode.OUTCOME_UNKNOWN, "the connection broke", Ran.UNKNOWN)
+            refusal = Refusal(
+                RefusalCode.OUTCOME_UNKNOWN, "the connection broke", ExecutionStatus.UNKNOWN
+            )
             for asked in old.open_requests:
                 self.oracle.refused(asked, refusal, self.now_s)
         rows = [Endpoint(e, SERVICE, "ahd-a", e) for e in ENDPOINTS]
--- a/src/beryljunction/node/front.py
+++ b/src/beryljunction/node/front.py
@@ -3,7 +3,7 @@
 import hmac
 from collections.abc import Callable, Mapping
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.wire import FLEET_KEY_HEADER, encode_refusal
 
@@ -48,7 +48,9 @@
         ):
             await self._answer_counted(route, scope, receive, send)
         else:
-            refusal = Refusal(RefusalCode.UNAUTHENTICATED, "expected the fleet's key", Ran.NO)
+            refusal = Refusal(
+                RefusalCode.UNAUTHENTICATED, "expected the fleet's key", ExecutionStatus.NO
+            )
             await send_response(send, 401, encode_refusal(refusal, ""))
 
     async def _forward_to_role(self, scope: Scope, receive: Receive, send: Send) -> None:
--- a/src/beryljunction/node/operator.py
+++ b/src/beryljunction/node/operator.py
@@ -14,7 +14,7 @@
 from beryljunction.errors import StartError
 from beryljunction.metrics import Metrics
 from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus, is_operator_authorized
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.settings import ProcessSettings
 from beryljunction.timeline import HLC_HEADER, Timeline
@@ -50,7 +50,7 @@
             await self._app(scope, receive, send)
             return
         message = "expected an operator's key as 'Authorization: Bearer KEY'"
-        refusal = Refusal(RefusalCode.UNAUTHENTICATED, message, Ran.NO)
+        refusal = Refusal(RefusalCode.UNAUTHENTICATED, message, ExecutionStatus.NO)
         await send_response(
             send, 401, encode_refusal(refusal, ""), [(b"www-authenticate", b"Bearer")]
         )
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/node/process.py
@@ -22,7 +22,7 @@
 from beryljunction.node.sidecar_role import SidecarRole
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.operators import ProcessStatus
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import (
     Asgi,
     Receive,
@@ -271,7 +271,7 @@
         if self._view.services:
             return None
         message = "this process has read no settings yet; ask another one or come back"
-        return Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0)
+        return Refusal(RefusalCode.NO_ENDPOINT, message, ExecutionStatus.NO, 1.0)
 
     def _count_answer(self, path: str, sent_bytes: int, received_bytes: int) -> None:
         self.metrics.count_control_bytes(path.rpartition("/")[2], sent_bytes, received_bytes)
--- a/src/beryljunction/outcomes.py
+++ b/src/beryljunction/outcomes.py
@@ -6,10 +6,10 @@
 
 from beryljunction.loads import LoadRow
 
-__all__ = ["Ran", "Refusal", "RefusalCode"]
+__all__ = ["ExecutionStatus", "Refusal", "RefusalCode"]
 
 
-class Ran(enum.StrEnum):
+class ExecutionStatus(enum.StrEnum):
     """Whether a request ran, as far as the sender of the outcome can prove it.
 
     ``NO`` is sent only by a process that can prove it: an entry that sent no byte of the request,
@@ -66,9 +66,9 @@
 
     code: RefusalCode
     message: str
-    ran: Ran
+    ran: ExecutionStatus
     retry_after_s: float | None = None
     successor: str | None = None
     pointer: str | None = None
     load: LoadRow | None = None
-    try_ran: Ran | None = None
+    try_ran: ExecutionStatus | None = None
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -11,7 +11,7 @@
 import httpcore
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, create_client_pool, read_body
 from beryljunction.settings import ResolvedSettings, SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
@@ -119,10 +119,14 @@
         )
         handler = self.routes.get(scope["path"])
         if not hmac.compare_digest(headers.get(FLEET_KEY_HEADER, b""), self._fleet_key):
-            refusal = Refusal(RefusalCode.UNAUTHENTICATED, "expected the fleet's key", Ran.NO)
+            refusal = Refusal(
+                RefusalCode.UNAUTHENTICATED, "expected the fleet's key", ExecutionStatus.NO
+            )
             await writer.refuse(refusal, "")
         elif handler is None:
-            refusal = Refusal(RefusalCode.NOT_FOUND, f"no such path {scope['path']}", Ran.NO)
+            refusal = Refusal(
+                RefusalCode.NOT_FOUND, f"no such path {scope['path']}", ExecutionStatus.NO
+            )
             await writer.refuse(refusal, "")
         else:
             await handler(Call(headers, receive, writer))
@@ -184,13 +188,15 @@
         try:
             envelope = decode(call.headers.get(ENVELOPE_HEADER, b""), Envelope)
         except ValueError as error:
-            await call.writer.refuse(Refusal(RefusalCode.BAD_REQUEST, str(error), Ran.NO), "")
+            await call.writer.refuse(
+                Refusal(RefusalCode.BAD_REQUEST, str(error), ExecutionStatus.NO), ""
+            )
             return
         limits = self.view.limits
         body = await read_body(call.receive, limits.body_bytes, limits.body_s)
         if body is None:
             message = f"expected a whole body of at most {limits.body_bytes} bytes"
-            refusal = Refusal(RefusalCode.TOO_LARGE, message, Ran.NO)
+            refusal = Refusal(RefusalCode.TOO_LARGE, message, ExecutionStatus.NO)
             await call.writer.refuse(refusal, envelope.request_id)
             return
         await self._answer(call, envelope, body)
--- a/src/beryljunction/sidecar/calls.py
+++ b/src/beryljunction/sidecar/calls.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, read_body
 from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.wire import decode
@@ -30,7 +30,7 @@
         try:
             return decode(await read_body(self.receive, _MAX_CONTROL_MESSAGE_BYTES) or b"", cls)
         except ValueError as error:
-            refusal = Refusal(RefusalCode.BAD_REQUEST, str(error), Ran.UNKNOWN)
+            refusal = Refusal(RefusalCode.BAD_REQUEST, str(error), ExecutionStatus.UNKNOWN)
             await self.writer.refuse(refusal, "")
             return None
 
--- a/src/beryljunction/sidecar/endpoint.py
+++ b/src/beryljunction/sidecar/endpoint.py
@@ -7,7 +7,7 @@
 import httpcore
 
 from beryljunction.idle_timeouts import IdleTimeout, IdleTimeouts
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import close_idle_connections
 from beryljunction.sidecar.runs import Run
 from beryljunction.streams import FrameNumberer, FrameParser, StreamId
@@ -75,18 +75,18 @@
                 no priority header.
         """
         numberer = FrameNumberer(name)
-        run.ran = Ran.UNKNOWN
+        run.ran = ExecutionStatus.UNKNOWN
         try:
             async with self._open(run, priority) as (response, idle_timeout):
-                run.ran = Ran.YES
+                run.ran = ExecutionStatus.YES
                 if not _is_stream(run, response):
                     await self._read_answer(run, response)
                     return
                 await self._read_frames(run, response, numberer, idle_timeout)
         except _CONNECT_ERRORS:
-            run.ran = Ran.NO
+            run.ran = ExecutionStatus.NO
             message = "the endpoint did not take the connection; no byte of the request was sent"
-            run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO, 1.0)
+            run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, ExecutionStatus.NO, 1.0)
             return
         except _CONNECTION_ERRORS as error:
             message = f"the connection to the endpoint broke: {type(error).__name__}"
@@ -134,7 +134,7 @@
             size += len(part)
             if size > self.answer_bytes:
                 message = f"expected an answer of at most {self.answer_bytes} bytes, got more"
-                run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.YES)
+                run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, ExecutionStatus.YES)
                 return
             parts.append(part)
         headers = [(k, v) for k, v in response.headers if k.lower() not in _HOP_BY_HOP_HEADERS]
@@ -183,7 +183,7 @@
                 ) as response:
                     if response.status != 200:
                         return False
-                    run.ran = Ran.YES
+                    run.ran = ExecutionStatus.YES
                     await self._read_frames(run, response, numberer, idle_timeout)
         except _CONNECTION_ERRORS:
             return True
@@ -196,7 +196,7 @@
             run.refusal = None
         elif run.streaming:
             message = "the endpoint's stream ended early and could not be resumed"
-            run.refusal = Refusal(RefusalCode.INCOMPLETE, message, Ran.YES)
+            run.refusal = Refusal(RefusalCode.INCOMPLETE, message, ExecutionStatus.YES)
         elif run.refusal is None and run.answer is None:
             message = "the endpoint went silent before its answer"
             run.refusal = Refusal(RefusalCode.ENDPOINT_FAILED, message, run.ran)
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/keeper.py
@@ -8,7 +8,7 @@
 
 from beryljunction.clocks import boot_time_s
 from beryljunction.idle_timeouts import IdleTimeouts
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar.endpoint import EndpointClient
@@ -44,10 +44,14 @@
     "this try arrived after its sender was told that it did not run; it will not run"
 )
 _ARRIVAL_REFUSALS = {
-    Arrival.BURIED: Refusal(RefusalCode.CANCELLED, _TOMBSTONED_MESSAGE, Ran.NO),
-    Arrival.CLOSED: Refusal(RefusalCode.OVERLOADED, "too many requests; ask again", Ran.NO, 1.0),
+    Arrival.BURIED: Refusal(RefusalCode.CANCELLED, _TOMBSTONED_MESSAGE, ExecutionStatus.NO),
+    Arrival.CLOSED: Refusal(
+        RefusalCode.OVERLOADED, "too many requests; ask again", ExecutionStatus.NO, 1.0
+    ),
     Arrival.TOO_OLD: Refusal(
-        RefusalCode.OUTCOME_UNKNOWN, "arrived too late to tell whether it was here", Ran.UNKNOWN
+        RefusalCode.OUTCOME_UNKNOWN,
+        "arrived too late to tell whether it was here",
+        ExecutionStatus.UNKNOWN,
     ),
 }
 
@@ -60,7 +64,7 @@
     request again with a new stamp.
     """
     refusal = _ARRIVAL_REFUSALS[arrival]
-    if envelope.idempotent or refusal.ran is not Ran.NO:
+    if envelope.idempotent or refusal.ran is not ExecutionStatus.NO:
         return refusal
     return attrs.evolve(refusal, code=RefusalCode.STALE_STAMP)
 
@@ -135,7 +139,7 @@
         heard_stamp = Stamp.from_text(envelope.heard)
         if envelope.idempotent and self.tombstones.has_other_incarnation(heard_stamp):
             message = "sent to an earlier start of this sidecar, which may have run it; send again"
-            return Refusal(RefusalCode.STALE_STAMP, message, Ran.UNKNOWN, 0.0)
+            return Refusal(RefusalCode.STALE_STAMP, message, ExecutionStatus.UNKNOWN, 0.0)
         attempt_id = _attempt_id(envelope)
         arrival = self.tombstones.arrive(
             attempt_id, heard_stamp, envelope.heard_age_s, boot_time_s()
@@ -147,7 +151,7 @@
             return existing
         if arrival is Arrival.DUPLICATE and envelope.ticket is None:
             message = "this try was here before and its answer is no longer kept"
-            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
         if envelope.idempotent:
             return self._admit(Run(envelope, body, ReplayBuffer(self._frame_log_bytes(envelope))))
         return self._accept_non_idempotent(envelope, body)
@@ -172,7 +176,7 @@
         run = self.runs.get(claim.request_id)
         if run is None:
             message = "the request runs here, and its run can't be read; ask again"
-            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN, 1.0)
+            return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN, 1.0)
         self.runs.join(run, envelope.request_id)
         return run
 
@@ -233,16 +237,16 @@
         """
         if attach.resume:
             message = "expected a stream that is still kept; it ended, or never was here"
-            return Refusal(RefusalCode.NOT_FOUND, message, Ran.UNKNOWN)
+            return Refusal(RefusalCode.NOT_FOUND, message, ExecutionStatus.UNKNOWN)
         heard_stamp = Stamp.from_text(attach.heard)
         asked = self.tombstones.query_outcome(
             _attempt_id(attach), heard_stamp, attach.heard_age_s, boot_time_s()
         )
         if asked is OutcomeAnswer.NOT_RUN:
             message = "the request never arrived here and will be refused if it does"
-            return Refusal(RefusalCode.ENDPOINT_FAILED, message, Ran.NO)
+            return Refusal(RefusalCode.ENDPOINT_FAILED, message, ExecutionStatus.NO)
         message = "the sidecar that was given the request is gone or has forgotten it"
-        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN)
+        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN)
 
     def cancel(self, cancel: Cancel) -> None:
         """Cancel a run whose caller has disconnected.
@@ -294,7 +298,7 @@
                     await self._endpoint.execute(
                         run, self.stream_name(run), self._engine_priority(run)
                     )
-            if run.scope.cancelled_caught and run.ran is not Ran.NO:
+            if run.scope.cancelled_caught and run.ran is not ExecutionStatus.NO:
                 await self._endpoint.cancel(request_id)
         finally:
             self._timeline.add("ended", request_id)
@@ -304,9 +308,9 @@
             run.end(time.monotonic())
             self._tick()
 
-    def _record_prefix(self, envelope: Envelope, ran: Ran) -> None:
+    def _record_prefix(self, envelope: Envelope, ran: ExecutionStatus) -> None:
         """Record the chat id under which the engine has cached a chat's prefix."""
-        if envelope.chat_key is not None and envelope.chat_id and ran is Ran.YES:
+        if envelope.chat_key is not None and envelope.chat_id and ran is ExecutionStatus.YES:
             tokens = envelope.prompt_tokens + envelope.output_tokens
             now_s = time.monotonic()
             self.prefixes.put(Prefix(envelope.chat_key, envelope.chat_id, tokens, now_s))
--- a/src/beryljunction/sidecar/ledger.py
+++ b/src/beryljunction/sidecar/ledger.py
@@ -1,7 +1,7 @@
 """Runs under tickets: each ticket runs at most once, even after retries and network failures."""
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.sidecar.runs import Run
 from beryljunction.systems import TicketClaimRequest, TicketClaimResult, TicketLedger, body_digest
 from beryljunction.tables import Answer, Stamp
@@ -44,7 +44,11 @@
             refusal.code,
             refusal.message,
             # A successor that was named earlier may already have been used by another attempt.
-            Ran.NO if retired.fresh or retired.successor is None else Ran.UNKNOWN,
+            (
+                ExecutionStatus.NO
+                if retired.fresh or retired.successor is None
+                else ExecutionStatus.UNKNOWN
+            ),
             refusal.retry_after_s,
             successor=retired.successor,
             pointer=refusal.pointer,
@@ -55,7 +59,7 @@
         if run.serial is None or self._ledger.start(run.serial, boot_time_s()):
             return True
         message = "its caller has been told that the outcome is unknown; it will not run"
-        run.refusal = Refusal(RefusalCode.DEADLINE, message, Ran.NO)
+        run.refusal = Refusal(RefusalCode.DEADLINE, message, ExecutionStatus.NO)
         return False
 
     def record_end(self, run: Run, started: bool) -> None:
@@ -63,7 +67,7 @@
         if run.serial is None:
             return
         if not started:
-            refusal = run.refusal or Refusal(RefusalCode.CANCELLED, "cancelled", Ran.NO)
+            refusal = run.refusal or Refusal(RefusalCode.CANCELLED, "cancelled", ExecutionStatus.NO)
             run.refusal = self.retire(run.serial, run.envelope, refusal)
         elif run.answer is not None:
             self._ledger.finish(run.serial, run.answer)
@@ -76,7 +80,7 @@
         message = "the run ended without an answer"
         refusal = run.refusal or Refusal(RefusalCode.ENDPOINT_FAILED, message, run.ran)
         self._ledger.fail(serial, refusal)
-        if refusal.ran is Ran.NO:
+        if refusal.ran is ExecutionStatus.NO:
             run.refusal = self.retire(serial, run.envelope, refusal)
 
 
--- a/src/beryljunction/sidecar/prefixes.py
+++ b/src/beryljunction/sidecar/prefixes.py
@@ -7,7 +7,7 @@
 import anyio
 import httpcore
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.sidecar.calls import Call
 from beryljunction.sidecar.kv import KvClient
 from beryljunction.systems import (
@@ -178,14 +178,16 @@
         if tokens is not None:
             await call.writer.done(encode(PrefixTaken(tokens)))
             return
-        failed = Refusal(RefusalCode.ENDPOINT_FAILED, "the engine did not import it", Ran.NO)
+        failed = Refusal(
+            RefusalCode.ENDPOINT_FAILED, "the engine did not import it", ExecutionStatus.NO
+        )
         await call.writer.refuse(refusal or failed, "")
 
     def _check_available(self) -> Refusal | None:
         if self._admission.leaving:
-            return Refusal(RefusalCode.LEAVING, "the endpoint is leaving", Ran.NO)
+            return Refusal(RefusalCode.LEAVING, "the endpoint is leaving", ExecutionStatus.NO)
         if self._admission.paused:
-            return Refusal(RefusalCode.OVERLOADED, self._admission.paused, Ran.NO)
+            return Refusal(RefusalCode.OVERLOADED, self._admission.paused, ExecutionStatus.NO)
         return None
 
     async def _import(self, offer: PrefixOffer) -> int | None:
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -10,7 +10,7 @@
 import anyio
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, cancel_on_disconnect
 from beryljunction.sidecar.runs import Reader, Run
 from beryljunction.sidecar.writers import ResponseWriter
@@ -104,7 +104,7 @@
 
 def _dropped_frames_refusal(after: int) -> Refusal:
     message = f"expected a sequence whose followers are still kept, got {after}; ask anew"
-    return Refusal(RefusalCode.INCOMPLETE, message, Ran.YES)
+    return Refusal(RefusalCode.INCOMPLETE, message, ExecutionStatus.YES)
 
 
 def _end_refusal(run: Run) -> Refusal:
@@ -113,5 +113,5 @@
     return Refusal(RefusalCode.CANCELLED, "the run was cancelled; ask anew", _proven_outcome(run))
 
 
-def _proven_outcome(run: Run) -> Ran:
-    return Ran.YES if run.streaming else run.ran
+def _proven_outcome(run: Run) -> ExecutionStatus:
+    return ExecutionStatus.YES if run.streaming else run.ran
--- a/src/beryljunction/sidecar/runs.py
+++ b/src/beryljunction/sidecar/runs.py
@@ -6,7 +6,7 @@
 import anyio
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal
+from beryljunction.outcomes import ExecutionStatus, Refusal
 from beryljunction.streams import ReplayBuffer
 from beryljunction.tables import Answer
 from beryljunction.wire import Envelope
@@ -77,7 +77,7 @@
     envelope: Envelope
     body: bytes
     log: ReplayBuffer
-    ran: Ran = Ran.NO
+    ran: ExecutionStatus = ExecutionStatus.NO
     admission_decided: anyio.Event = attrs.field(factory=anyio.Event)
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
     data_available: ReusableEvent = attrs.field(factory=ReusableEvent)
@@ -100,7 +100,7 @@
     @property
     def ended_without_running(self) -> bool:
         """Whether the run ended without having run; the entry may send the request here again."""
-        return self.ended_s is not None and self.ran is Ran.NO
+        return self.ended_s is not None and self.ran is ExecutionStatus.NO
 
     @property
     def kept_bytes(self) -> int:
@@ -114,7 +114,7 @@
         A non-idempotent request that may have started runs to its end. Cancelling it would leave
         the caller with an effect whose answer is lost for good.
         """
-        return self.envelope.idempotent or self.ran is Ran.NO
+        return self.envelope.idempotent or self.ran is ExecutionStatus.NO
 
     async def add_frames(self, frames: list[bytes]) -> None:
         """Append frames to the log; wait while the reader lags by more than the log's bound."""
--- a/src/beryljunction/systems/requests/admission.py
+++ b/src/beryljunction/systems/requests/admission.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.settings.schema import ServiceSettings
 from beryljunction.systems.requests.load import LoadBound, LoadLimits, LoadTracker
 from beryljunction.systems.requests.queueing import FairQueue
@@ -159,7 +159,9 @@
             return self._refuse(request, RefusalCode.LEAVING, "the endpoint is leaving", None)
         if self.paused:
             # Sent without the load: a paused endpoint would look like the least loaded one.
-            refusal = Refusal(RefusalCode.OVERLOADED, self.paused, Ran.NO, _PAUSED_RETRY_S)
+            refusal = Refusal(
+                RefusalCode.OVERLOADED, self.paused, ExecutionStatus.NO, _PAUSED_RETRY_S
+            )
             return AdmissionRefused(request.request_id, refusal)
         moved = self._moved(request, now_s)
         if moved is not None:
@@ -216,7 +218,10 @@
             only = request.only_if_warm
             return self._refuse(request, RefusalCode.NOT_WARM, message, None) if only else None
         refusal = Refusal(
-            RefusalCode.CHAT_MOVED, "the chat is cached elsewhere", Ran.NO, pointer=row.endpoint_id
+            RefusalCode.CHAT_MOVED,
+            "the chat is cached elsewhere",
+            ExecutionStatus.NO,
+            pointer=row.endpoint_id,
         )
         return AdmissionRefused(request.request_id, refusal)
 
@@ -361,5 +366,5 @@
     ) -> AdmissionRefused:
         load = self.load.own_row() if code is RefusalCode.OVERLOADED else None
         return AdmissionRefused(
-            request.request_id, Refusal(code, message, Ran.NO, retry_s, load=load)
+            request.request_id, Refusal(code, message, ExecutionStatus.NO, retry_s, load=load)
         )
--- a/src/beryljunction/systems/requests/attempts.py
+++ b/src/beryljunction/systems/requests/attempts.py
@@ -5,7 +5,7 @@
 import attrs
 
 from beryljunction.loads import LoadRow
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems.requests.retries import RetryBudget
 from beryljunction.tables import Endpoint, EndpointState
 
@@ -87,7 +87,7 @@
         """Return the first step."""
         if not self._remaining:
             message = "expected a live endpoint of the service, found none; retry later"
-            return GiveUp(Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0))
+            return GiveUp(Refusal(RefusalCode.NO_ENDPOINT, message, ExecutionStatus.NO, 1.0))
         if self._previous_home is not None:
             self.tries += 1
             return Try(self._previous_home, warm=True, only_if_warm=True)
@@ -102,8 +102,10 @@
             refusal: Result of the try.
             endpoint: Endpoint that the try was sent to.
         """
-        self._maybe_ran = self._maybe_ran or refusal.ran is not Ran.NO
-        may_repeat = refusal.ran is Ran.NO or (self._idempotent and refusal.ran is Ran.UNKNOWN)
+        self._maybe_ran = self._maybe_ran or refusal.ran is not ExecutionStatus.NO
+        may_repeat = refusal.ran is ExecutionStatus.NO or (
+            self._idempotent and refusal.ran is ExecutionStatus.UNKNOWN
+        )
         if not may_repeat or refusal.code in _FINAL_CODES:
             return self._give_up(refusal)
         if refusal.code is RefusalCode.CHAT_MOVED and not self._pointer_followed:
@@ -116,7 +118,7 @@
             return self._resend(refusal, endpoint)
         if refusal.code is RefusalCode.OVERLOADED:
             return self._spill(refusal, endpoint)
-        if refusal.code is RefusalCode.ENDPOINT_FAILED and refusal.ran is Ran.NO:
+        if refusal.code is RefusalCode.ENDPOINT_FAILED and refusal.ran is ExecutionStatus.NO:
             step = self._fail_over()
             if step is not None:
                 return step
@@ -247,5 +249,9 @@
         The last endpoint's "not run" holds for that endpoint only. If an earlier try may have run
         the request, the caller is told that the outcome is unknown.
         """
-        ran = Ran.UNKNOWN if self._maybe_ran and refusal.ran is Ran.NO else refusal.ran
+        ran = (
+            ExecutionStatus.UNKNOWN
+            if self._maybe_ran and refusal.ran is ExecutionStatus.NO
+            else refusal.ran
+        )
         return GiveUp(attrs.evolve(refusal, ran=ran, load=None))
--- a/src/beryljunction/systems/state/key_claims.py
+++ b/src/beryljunction/systems/state/key_claims.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 
 __all__ = [
     "ClaimBatch",
@@ -113,10 +113,12 @@
     """
     if isinstance(verdict, KeyLost):
         message = "the key belongs to an earlier try; go on with its ticket"
-        return Refusal(RefusalCode.TICKET_BURNED, message, Ran.UNKNOWN, successor=verdict.ticket)
+        return Refusal(
+            RefusalCode.TICKET_BURNED, message, ExecutionStatus.UNKNOWN, successor=verdict.ticket
+        )
     if isinstance(verdict, KeyMismatch):
         message = "expected the request that this key was first used for, got a different one"
-        return Refusal(RefusalCode.KEY_REUSED, message, Ran.NO)
+        return Refusal(RefusalCode.KEY_REUSED, message, ExecutionStatus.NO)
     message = (
         "this try was not run; the log that keeps idempotency keys did not answer, so an earlier "
         "try under the key may have run; retry later with the same key"
@@ -124,7 +126,7 @@
     return Refusal(
         RefusalCode.KEY_STORE_DOWN,
         message,
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
         verdict.retry_after_s,
-        try_ran=Ran.NO,
+        try_ran=ExecutionStatus.NO,
     )
--- a/src/beryljunction/systems/state/ticket_attempts.py
+++ b/src/beryljunction/systems/state/ticket_attempts.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems.requests.attempts import GiveUp
 from beryljunction.tables import Endpoint
 
@@ -72,7 +72,7 @@
         if self._remaining:
             return self._mint(self._remaining.pop(0))
         message = "expected a live endpoint of the service, found none; retry later"
-        return GiveUp(Refusal(RefusalCode.NO_ENDPOINT, message, Ran.NO, 1.0))
+        return GiveUp(Refusal(RefusalCode.NO_ENDPOINT, message, ExecutionStatus.NO, 1.0))
 
     def after(self, refusal: Refusal, ticket: str | None) -> TicketStep:
         """Return the step after a try.
@@ -87,15 +87,19 @@
             return self._mint_for_new_incarnation(refusal, self._minted)
         if refusal.code is RefusalCode.STALE_STAMP:
             return self._resend(refusal, ticket)
-        if refusal.code in _RETIRED_CODES and refusal.ran is Ran.NO and not self._in_doubt:
+        if (
+            refusal.code in _RETIRED_CODES
+            and refusal.ran is ExecutionStatus.NO
+            and not self._in_doubt
+        ):
             return self._mint_next(refusal)
-        if refusal.code is not RefusalCode.ENDPOINT_FAILED or refusal.ran is not Ran.NO:
+        if refusal.code is not RefusalCode.ENDPOINT_FAILED or refusal.ran is not ExecutionStatus.NO:
             return self._repeat_if_unknown(refusal, ticket)
         if not self._in_doubt:
             return self._mint_next(refusal)
         message = "the ticket's sidecar can't be reached; an earlier try under it may have run"
         return self._repeat_if_unknown(
-            Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.UNKNOWN), ticket
+            Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.UNKNOWN), ticket
         )
 
     def _use_successor(self, successor: str) -> TicketStep:
@@ -133,7 +137,7 @@
         if ticket is not None and self._repeats < _MAX_REPEATS:
             self._repeats += 1
             return UseTicket(ticket)
-        ran = Ran.UNKNOWN if self._in_doubt else refusal.ran
+        ran = ExecutionStatus.UNKNOWN if self._in_doubt else refusal.ran
         return GiveUp(attrs.evolve(refusal, ran=ran))
 
     def _repeat_if_unknown(self, refusal: Refusal, ticket: str | None) -> TicketStep:
--- a/src/beryljunction/systems/state/ticket_claims.py
+++ b/src/beryljunction/systems/state/ticket_claims.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.tables import Answer, Stamp
 
 __all__ = [
@@ -154,16 +154,16 @@
         return _retired_refusal(claim)
     if isinstance(claim, Replay) and claim.answer is None:
         message = "the request ran and ended; its answer was too large to keep for a retry"
-        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, Ran.YES)
+        return Refusal(RefusalCode.OUTCOME_UNKNOWN, message, ExecutionStatus.YES)
     return _REFUSALS.get(type(claim))
 
 
 def _retired_refusal(claim: TicketRetired) -> Refusal:
     if claim.successor is None:
         message = "not run here and no other endpoint was named; retry later"
-        return Refusal(RefusalCode.TICKET_BURNED, message, Ran.NO, 1.0)
+        return Refusal(RefusalCode.TICKET_BURNED, message, ExecutionStatus.NO, 1.0)
     # If the successor was minted by an earlier call, another try may already have used it.
-    ran = Ran.NO if claim.fresh else Ran.UNKNOWN
+    ran = ExecutionStatus.NO if claim.fresh else ExecutionStatus.UNKNOWN
     message = "not run here; try the successor ticket"
     return Refusal(RefusalCode.TICKET_BURNED, message, ran, successor=claim.successor)
 
@@ -172,34 +172,36 @@
     WrongIncarnation: Refusal(
         RefusalCode.TICKET_INVALID,
         "the sidecar that held this ticket is gone; look up the outcome before asking again",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
     ),
     Expired: Refusal(
         RefusalCode.TICKET_INVALID,
         "the ticket has expired; look up the outcome before asking again",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
     ),
     Mismatch: Refusal(
         RefusalCode.KEY_REUSED,
         "expected the request that this ticket or key was first used for, got a different one",
-        Ran.NO,
+        ExecutionStatus.NO,
     ),
     Full: Refusal(
         RefusalCode.LEDGER_FULL,
         "the ledger of requests that may run once is full; retry later under a new ticket",
-        Ran.NO,
+        ExecutionStatus.NO,
         5.0,
     ),
     Unstamped: Refusal(
         RefusalCode.STALE_STAMP,
         "expected a stamp of this sidecar's present start; send again with the one in this answer",
-        Ran.NO,
+        ExecutionStatus.NO,
         0.0,
     ),
-    Invalid: Refusal(RefusalCode.TICKET_INVALID, "expected a ticket; fetch one", Ran.NO),
+    Invalid: Refusal(
+        RefusalCode.TICKET_INVALID, "expected a ticket; fetch one", ExecutionStatus.NO
+    ),
     Unverified: Refusal(
         RefusalCode.TICKET_INVALID,
         "expected a ticket under the fleet's present key; look up the outcome before asking again",
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
     ),
 }
--- a/src/beryljunction/systems/state/tickets.py
+++ b/src/beryljunction/systems/state/tickets.py
@@ -12,7 +12,7 @@
 import attrs
 
 from beryljunction.errors import InvariantError
-from beryljunction.outcomes import Ran, Refusal
+from beryljunction.outcomes import ExecutionStatus, Refusal
 from beryljunction.systems.state.incarnation_clock import IncarnationClock, IssueValidity
 from beryljunction.systems.state.ticket_claims import (
     AlreadyRunning,
@@ -142,7 +142,7 @@
         run elsewhere; otherwise it is never run again.
         """
         row = self._row(serial)
-        if refusal.ran is Ran.NO:
+        if refusal.ran is ExecutionStatus.NO:
             row.state = TicketState.RETIRED
             return
         row.state = TicketState.FAILED
--- a/src/beryljunction/wire/codec.py
+++ b/src/beryljunction/wire/codec.py
@@ -7,7 +7,7 @@
 import cattrs
 
 from beryljunction.loads import LoadRow
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 
 __all__ = [
     "decode",
@@ -72,7 +72,7 @@
         fields = json.loads(data)["error"]
         return _converter.structure(fields, Refusal)
     except (cattrs.BaseValidationError, ValueError, KeyError, TypeError):
-        return Refusal(RefusalCode.OUTCOME_UNKNOWN, "unreadable answer", Ran.UNKNOWN)
+        return Refusal(RefusalCode.OUTCOME_UNKNOWN, "unreadable answer", ExecutionStatus.UNKNOWN)
 
 
 def encode_load_rows(rows: list[LoadRow]) -> bytes:
--- a/testing/test_admission.py
+++ b/testing/test_admission.py
@@ -4,7 +4,7 @@
 import pytest
 
 from beryljunction.loads import LoadRow
-from beryljunction.outcomes import Ran, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, RefusalCode
 from beryljunction.systems import (
     AdmissionController,
     AdmissionLimits,
@@ -57,7 +57,7 @@
 
         assert isinstance(decision, AdmissionRefused)
         assert decision.refusal.code is RefusalCode.OVERLOADED
-        assert decision.refusal.ran is Ran.NO
+        assert decision.refusal.ran is ExecutionStatus.NO
         assert decision.refusal.load.running == 4
 
     def test_cold_request_is_refused_from_a_tenth_below_the_mean_and_a_warm_one_admitted(self):
@@ -179,7 +179,7 @@
         [decision] = controller.tick(4.0)
 
         assert decision.refusal.code is RefusalCode.DEADLINE
-        assert decision.refusal.ran is Ran.NO
+        assert decision.refusal.ran is ExecutionStatus.NO
 
 
 class TestFairness:
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -2,14 +2,14 @@
 import pytest
 
 from beryljunction.loads import LoadRow
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import GiveUp, RequestAttempts, RetryBudget, Try
 from beryljunction.tables import Endpoint, EndpointState
 
 ROWS = [Endpoint(f"e{i}", "drafter", "z", "") for i in range(8)]
 
 
-def refusal(code: RefusalCode, ran: Ran = Ran.NO, **fields) -> Refusal:
+def refusal(code: RefusalCode, ran: ExecutionStatus = ExecutionStatus.NO, **fields) -> Refusal:
     return Refusal(code, "", ran, **fields)
 
 
@@ -28,7 +28,7 @@
         # earlier incarnation and is refused; the refusal has the new stamp, with which it runs.
         request_attempts = RequestAttempts(ROWS[:1], RetryBudget(0.0, 0.0), idempotent=True)
         request_attempts.first()
-        stale = refusal(RefusalCode.STALE_STAMP, Ran.UNKNOWN)
+        stale = refusal(RefusalCode.STALE_STAMP, ExecutionStatus.UNKNOWN)
 
         again = request_attempts.after(stale, ROWS[0])
 
@@ -153,7 +153,9 @@
         request_attempts = RequestAttempts(ROWS, RetryBudget(0.0, 0.0), True)
         request_attempts.first()
 
-        step = request_attempts.after(refusal(RefusalCode.ENDPOINT_FAILED, Ran.UNKNOWN), ROWS[0])
+        step = request_attempts.after(
+            refusal(RefusalCode.ENDPOINT_FAILED, ExecutionStatus.UNKNOWN), ROWS[0]
+        )
 
         assert isinstance(step, GiveUp)
 
@@ -183,7 +185,9 @@
         request_attempts = attempts(idempotent=False)
         request_attempts.first()
 
-        step = request_attempts.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        step = request_attempts.after(
+            refusal(RefusalCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN), ROWS[0]
+        )
 
         assert isinstance(step, GiveUp)
 
@@ -192,11 +196,13 @@
         # the request. Its "not run" must not reach the caller, because the first may have run it.
         request_attempts = attempts()
         request_attempts.first()
-        request_attempts.after(refusal(RefusalCode.OUTCOME_UNKNOWN, Ran.UNKNOWN), ROWS[0])
+        request_attempts.after(
+            refusal(RefusalCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN), ROWS[0]
+        )
 
         step = request_attempts.after(refusal(RefusalCode.DEADLINE), ROWS[1])
 
-        assert step.refusal.ran is Ran.UNKNOWN
+        assert step.refusal.ran is ExecutionStatus.UNKNOWN
 
     @pytest.mark.parametrize("code", [RefusalCode.DEADLINE, RefusalCode.BAD_REQUEST])
     def test_are_not_made_when_no_endpoint_could_do_better(self, code):
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.outcomes import Ran
+from beryljunction.outcomes import ExecutionStatus
 from beryljunction.systems import (
     ClaimLimits,
     KeyClaim,
@@ -62,7 +62,10 @@
         verdict = resolver.submit("r1", claim("t1"), 1.5)
 
         assert verdict == KeyUnavailable(0.5)
-        assert (key_refusal(verdict).ran, key_refusal(verdict).try_ran) == (Ran.UNKNOWN, Ran.NO)
+        assert (key_refusal(verdict).ran, key_refusal(verdict).try_ran) == (
+            ExecutionStatus.UNKNOWN,
+            ExecutionStatus.NO,
+        )
 
     def test_lost_append_answer_is_resolved_by_reading(self):
         # The append takes effect but its answer is lost. The batch is appended again, and the
--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -5,7 +5,7 @@
 
 from beryljunction.fuzz import CI, ENDPOINTS, FleetMachine, Kind, run_fuzz
 from beryljunction.fuzz.machine import SidecarFault
-from beryljunction.outcomes import Ran
+from beryljunction.outcomes import ExecutionStatus
 from beryljunction.streams import FrameNumberer, SequenceChecker, parse_event_id
 from beryljunction.systems import (
     AdmissionController,
@@ -56,7 +56,10 @@
 
         fleet.teardown()
 
-        assert [asked.ran for asked in fleet.world.oracle.asked] == [Ran.YES, Ran.YES]
+        assert [asked.ran for asked in fleet.world.oracle.asked] == [
+            ExecutionStatus.YES,
+            ExecutionStatus.YES,
+        ]
 
     def test_not_run_outlives_the_sidecar_that_said_it(self):
         # Seed 913001. A chat sends requests while endpoints are leaving. One is still on its way
--- a/testing/test_ticket_attempts.py
+++ b/testing/test_ticket_attempts.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import GiveUp
 from beryljunction.systems.state.ticket_attempts import Mint, TicketAttempts, UseTicket
 from beryljunction.tables import Endpoint
@@ -8,7 +8,7 @@
 FIRST, SECOND = (Endpoint(f"ledger-{i}", "ledger", "gnr-a", "") for i in range(2))
 
 
-def failed(ran: Ran, code=RefusalCode.ENDPOINT_FAILED, successor=None) -> Refusal:
+def failed(ran: ExecutionStatus, code=RefusalCode.ENDPOINT_FAILED, successor=None) -> Refusal:
     return Refusal(code, "", ran, successor=successor)
 
 
@@ -17,7 +17,7 @@
         attempts = TicketAttempts([FIRST, SECOND], None)
 
         assert attempts.first() == Mint(FIRST)
-        assert attempts.after(failed(Ran.NO), "t1") == Mint(SECOND)
+        assert attempts.after(failed(ExecutionStatus.NO), "t1") == Mint(SECOND)
 
     def test_ticket_with_an_unknown_outcome_is_never_replaced(self):
         # The first try may have run, and the next ones fail to connect. That proves nothing about
@@ -25,24 +25,24 @@
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
 
-        step = attempts.after(failed(Ran.UNKNOWN, RefusalCode.OUTCOME_UNKNOWN), "t1")
-        again = attempts.after(failed(Ran.NO), "t1")
-        last = attempts.after(failed(Ran.NO), "t1")
+        step = attempts.after(failed(ExecutionStatus.UNKNOWN, RefusalCode.OUTCOME_UNKNOWN), "t1")
+        again = attempts.after(failed(ExecutionStatus.NO), "t1")
+        last = attempts.after(failed(ExecutionStatus.NO), "t1")
 
         assert (step, again) == (UseTicket("t1"), UseTicket("t1"))
         assert isinstance(last, GiveUp)
-        assert last.refusal.ran is Ran.UNKNOWN
+        assert last.refusal.ran is ExecutionStatus.UNKNOWN
 
     def test_callers_ticket_may_have_run_through_another_entry(self):
         attempts = TicketAttempts([FIRST, SECOND], "theirs")
 
         assert attempts.first() == UseTicket("theirs")
-        assert attempts.after(failed(Ran.NO), "theirs") == UseTicket("theirs")
+        assert attempts.after(failed(ExecutionStatus.NO), "theirs") == UseTicket("theirs")
 
     def test_burned_ticket_leads_to_its_successor_a_bounded_number_of_times(self):
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
-        burned = failed(Ran.NO, RefusalCode.OVERLOADED, successor="next")
+        burned = failed(ExecutionStatus.NO, RefusalCode.OVERLOADED, successor="next")
 
         steps = [attempts.after(burned, "t") for _ in range(5)]
 
@@ -54,7 +54,7 @@
         # incarnation has seen the ticket, and it refused it, so a new ticket is safe.
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
-        stale = failed(Ran.UNKNOWN, RefusalCode.TICKET_INVALID)
+        stale = failed(ExecutionStatus.UNKNOWN, RefusalCode.TICKET_INVALID)
 
         assert attempts.after(stale, "t1") == Mint(FIRST)
         assert attempts.after(stale, "t2") == GiveUp(stale)
@@ -62,10 +62,12 @@
     def test_callers_ticket_of_an_earlier_incarnation_is_never_replaced(self):
         attempts = TicketAttempts([FIRST, SECOND], "theirs")
         attempts.first()
-        stale = failed(Ran.UNKNOWN, RefusalCode.TICKET_INVALID)
+        stale = failed(ExecutionStatus.UNKNOWN, RefusalCode.TICKET_INVALID)
         assert attempts.after(stale, "theirs") == GiveUp(stale)
 
-    @pytest.mark.parametrize("ran", [Ran.YES, Ran.UNKNOWN], ids=["ran", "unknown"])
+    @pytest.mark.parametrize(
+        "ran", [ExecutionStatus.YES, ExecutionStatus.UNKNOWN], ids=["ran", "unknown"]
+    )
     def test_failure_reported_by_the_sidecar_is_final(self, ran):
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
@@ -73,14 +75,17 @@
 
     @pytest.mark.parametrize(
         ("ticket", "ran"),
-        [pytest.param(None, Ran.NO, id="own"), pytest.param("theirs", Ran.UNKNOWN, id="callers")],
+        [
+            pytest.param(None, ExecutionStatus.NO, id="own"),
+            pytest.param("theirs", ExecutionStatus.UNKNOWN, id="callers"),
+        ],
     )
     def test_stale_stamp_causes_a_resend_and_leaves_a_callers_ticket_unknown(self, ticket, ran):
         # The sidecar refuses three tries before it checks the ticket. An earlier try with the
         # caller's ticket may have run, so only for an own ticket the answer may be "not run".
         attempts = TicketAttempts([FIRST, SECOND], ticket)
         attempts.first()
-        stale = failed(Ran.NO, RefusalCode.STALE_STAMP)
+        stale = failed(ExecutionStatus.NO, RefusalCode.STALE_STAMP)
 
         steps = [attempts.after(stale, ticket or "t1") for _ in range(3)]
 
@@ -89,7 +94,7 @@
 
     def test_request_without_candidates_is_refused_at_once(self):
         step = TicketAttempts([], None).first()
-        assert step.refusal.ran is Ran.NO
+        assert step.refusal.ran is ExecutionStatus.NO
 
     @pytest.mark.parametrize(
         "code", [RefusalCode.LEAVING, RefusalCode.OVERLOADED, RefusalCode.QUEUE_FULL]
@@ -98,12 +103,12 @@
         attempts = TicketAttempts([FIRST, SECOND], None)
         attempts.first()
 
-        assert attempts.after(failed(Ran.NO, code), "t1") == Mint(SECOND)
+        assert attempts.after(failed(ExecutionStatus.NO, code), "t1") == Mint(SECOND)
 
     def test_callers_ticket_that_was_burned_without_successor_is_not_replaced(self):
         # Another entry may use the same ticket, and a ticket minted here would be a second one.
         attempts = TicketAttempts([FIRST, SECOND], "theirs")
         attempts.first()
-        burned = failed(Ran.NO, RefusalCode.LEAVING)
+        burned = failed(ExecutionStatus.NO, RefusalCode.LEAVING)
 
         assert attempts.after(burned, "theirs") == GiveUp(burned)
--- a/testing/test_tickets.py
+++ b/testing/test_tickets.py
@@ -1,6 +1,6 @@
 import pytest
 
-from beryljunction.outcomes import Ran, Refusal, RefusalCode
+from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import (
     AlreadyRunning,
     Arrival,
@@ -72,7 +72,7 @@
 
         here.finish(run.serial, Answer(200, (), b"x" * 61))
 
-        assert claim_refusal(here.claim(ticket, ask("r2"), 1002.0)).ran is Ran.YES
+        assert claim_refusal(here.claim(ticket, ask("r2"), 1002.0)).ran is ExecutionStatus.YES
 
     def test_oldest_answer_is_evicted_and_its_run_still_known(self):
         here = ledger()
@@ -98,8 +98,8 @@
         assert retired.fresh
         assert later == TicketRetired(retired.successor, fresh=False)
         assert MINT.read(retired.successor).stamp == OTHER
-        assert claim_refusal(retired).ran is Ran.NO
-        assert claim_refusal(later).ran is Ran.UNKNOWN
+        assert claim_refusal(retired).ran is ExecutionStatus.NO
+        assert claim_refusal(later).ran is ExecutionStatus.UNKNOWN
 
     def test_retired_ticket_without_successor_gets_one_from_a_later_try(self):
         here = ledger()
@@ -126,8 +126,8 @@
     @pytest.mark.parametrize(
         ("failure", "expected"),
         [
-            pytest.param(Ran.NO, TicketRetired, id="no-byte-sent"),
-            pytest.param(Ran.UNKNOWN, Failed, id="connection-broke"),
+            pytest.param(ExecutionStatus.NO, TicketRetired, id="no-byte-sent"),
+            pytest.param(ExecutionStatus.UNKNOWN, Failed, id="connection-broke"),
         ],
     )
     def test_failed_run_is_not_repeated_unless_it_provably_did_not_run(self, failure, expected):
@@ -143,9 +143,12 @@
     @pytest.mark.parametrize(
         ("given", "expected", "ran"),
         [
-            pytest.param(ask(digest="d2"), Mismatch(), Ran.NO, id="other-body"),
+            pytest.param(ask(digest="d2"), Mismatch(), ExecutionStatus.NO, id="other-body"),
             pytest.param(
-                TicketClaimRequest("mill", "d1", "r9", 1.0), Mismatch(), Ran.NO, id="other-account"
+                TicketClaimRequest("mill", "d1", "r9", 1.0),
+                Mismatch(),
+                ExecutionStatus.NO,
+                id="other-account",
             ),
         ],
     )
@@ -165,7 +168,7 @@
         claim = ledger("inc-z").claim(ticket, ask(), 1001.0)
 
         assert claim == WrongIncarnation()
-        assert claim_refusal(claim).ran is Ran.UNKNOWN
+        assert claim_refusal(claim).ran is ExecutionStatus.UNKNOWN
 
     @pytest.mark.parametrize(
         ("text", "expected"),
@@ -225,7 +228,7 @@
         late = here.claim(ticket, ask("r5"), 1102.0)
 
         assert refused == Full()
-        assert claim_refusal(refused).ran is Ran.NO
+        assert claim_refusal(refused).ran is ExecutionStatus.NO
         assert (late, len(here.table)) == (Full(), 0)
         assert isinstance(
             here.claim(here.mint("federation", 1102.0), ask("r6"), 1102.0), FirstClaim
