--- a/testing/ports.py
+++ b/testing/ports.py
@@ -5,8 +5,8 @@
 __all__ = ["free_ports"]
 
 
-def free_ports(held):
-    """Yield ports that are each reserved until ``held`` (an ExitStack) is closed.
+def free_ports(exit_stack):
+    """Yield ports that are each reserved until ``exit_stack`` (an ExitStack) is closed.
 
     A port that is released before its process binds it can be assigned again, in this test or in a
     parallel run, and the second process to bind it never becomes ready. So each port is held by a
@@ -14,7 +14,7 @@
     can still bind it, because both sockets set SO_REUSEADDR.
     """
     while True:
-        holder = held.enter_context(socket.socket())
+        holder = exit_stack.enter_context(socket.socket())
         holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         holder.bind(("127.0.0.1", 0))
         yield holder.getsockname()[1]
--- a/testing/test_fuzz_settings.py
+++ b/testing/test_fuzz_settings.py
@@ -169,7 +169,7 @@
     @rule(name=st.sampled_from(NODES))
     def node_is_replaced(self, name):
         self.fault()
-        self.simulation.scheduler.kill(self.simulation.nodes[name].owner)
+        self.simulation.scheduler.cancel(self.simulation.nodes[name].owner)
         self.simulation.scheduler.paused.discard(self.simulation.nodes[name].owner)
         self.simulation.start(name)
 
@@ -195,7 +195,7 @@
         replaced = self.simulation.replaced_nodes.pop()
         self.simulation.scheduler.resume(replaced.owner)
         self.simulation.scheduler.run(0.5, self.simulation.check_nodes)
-        self.simulation.scheduler.kill(replaced.owner)
+        self.simulation.scheduler.cancel(replaced.owner)
 
     def change(self, operator, path, value):
         coroutine = self.simulation.operate(operator, (Edit(path, value),), 0.0)
--- a/testing/virtual_time.py
+++ b/testing/virtual_time.py
@@ -37,7 +37,7 @@
                 self.start(coroutine, owner)
         self._parked = [row for row in self._parked if row[1] != owner]
 
-    def kill(self, owner):
+    def cancel(self, owner):
         for *_, coroutine, row_owner in self._heap:
             if row_owner == owner:
                 coroutine.close()
