--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -27,7 +27,7 @@
     SettingsState,
     serve_settings,
 )
-from beryljunction.sidecar.peers import LoadExchange
+from beryljunction.sidecar.load_exchange import LoadExchange
 from beryljunction.standins import HostListStandIn, LogStandIn
 from beryljunction.stores import HostRow, HttpHostList, HttpLogClient
 from beryljunction.systems import LoadTracker
--- a/src/beryljunction/engines/__init__.py
+++ b/src/beryljunction/engines/__init__.py
@@ -10,14 +10,14 @@
     OrderTaken,
     OrderUnknown,
 )
-from beryljunction.engines.orders import ReconcileLoop, RequestGate
-from beryljunction.engines.peers import (
+from beryljunction.engines.load_turn_log import LoadTurnLog
+from beryljunction.engines.reconcile_loop import ReconcileLoop, RequestGate
+from beryljunction.engines.rollout_peers import (
     ORDERS_PATH,
     HttpRolloutPeers,
     RolloutPeers,
     handle_row_exchange,
 )
-from beryljunction.engines.turns import LoadTurnLog
 
 __all__ = [
     "ORDERS_PATH",
--- a/src/beryljunction/engines/orders.py
+++ b/src/beryljunction/engines/reconcile_loop.py
@@ -8,8 +8,8 @@
 import anyio
 
 from beryljunction.engines.control import EngineControl, NoEngine, OrderFenced, OrderRefused
-from beryljunction.engines.peers import RolloutPeers
-from beryljunction.engines.turns import LoadTurnLog
+from beryljunction.engines.load_turn_log import LoadTurnLog
+from beryljunction.engines.rollout_peers import RolloutPeers
 from beryljunction.settings.schema import ResolvedSettings
 from beryljunction.systems.recovery.orders import (
     AwaitRollout,
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/node/sidecar_role.py
@@ -19,7 +19,7 @@
 from beryljunction.servers import Receive, Scope, Send, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
-from beryljunction.sidecar.peers import LoadExchange
+from beryljunction.sidecar.load_exchange import LoadExchange
 from beryljunction.stores import HostRow
 from beryljunction.tables import Endpoint, EndpointState, EndpointTable
 from beryljunction.wire import PEERS_PATH
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -15,12 +15,12 @@
 from beryljunction.servers import Receive, Scope, Send, create_client_pool, read_body
 from beryljunction.settings import ResolvedSettings, SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
-from beryljunction.sidecar.control import ControlRoutes
-from beryljunction.sidecar.handover import pointers_by_successor, send_pointers
-from beryljunction.sidecar.keeper import RunManager
+from beryljunction.sidecar.control_routes import ControlRoutes
 from beryljunction.sidecar.keys import KeyClaims
-from beryljunction.sidecar.prefixes import PrefixReceiver, PrefixSender
+from beryljunction.sidecar.pointer_handover import pointers_by_successor, send_pointers
+from beryljunction.sidecar.prefix_handover import PrefixReceiver, PrefixSender
 from beryljunction.sidecar.readers import ReadRequest, serve_reader
+from beryljunction.sidecar.run_manager import RunManager
 from beryljunction.sidecar.writers import ResponseWriter
 from beryljunction.stops import Stoppable
 from beryljunction.stores import HttpLogClient
--- a/src/beryljunction/sidecar/control.py
+++ b/src/beryljunction/sidecar/control_routes.py
@@ -8,8 +8,8 @@
 from beryljunction.operators import STATUS_PATH
 from beryljunction.settings import SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
-from beryljunction.sidecar.keeper import RunManager
 from beryljunction.sidecar.keys import KeyClaims
+from beryljunction.sidecar.run_manager import RunManager
 from beryljunction.systems import KeyClaim, KeyLost, KeyWon, key_refusal
 from beryljunction.timeline import Timeline
 from beryljunction.wire import (
--- a/src/beryljunction/sidecar/keeper.py
+++ b/src/beryljunction/sidecar/run_manager.py
@@ -11,9 +11,9 @@
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
-from beryljunction.sidecar.endpoint import EndpointClient
+from beryljunction.sidecar.endpoint_client import EndpointClient
 from beryljunction.sidecar.kv import KvClient
-from beryljunction.sidecar.ledger import RunTickets
+from beryljunction.sidecar.run_tickets import RunTickets
 from beryljunction.sidecar.runs import Run, RunTable
 from beryljunction.streams import ReplayBuffer, StreamId
 from beryljunction.systems import (
--- a/testing/test_peers.py
+++ b/testing/test_load_exchange.py
@@ -8,7 +8,7 @@
 from beryljunction.node.front import ControlMiddleware
 from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Server, bind_listener, create_client_pool, send_response
-from beryljunction.sidecar.peers import LoadExchange
+from beryljunction.sidecar.load_exchange import LoadExchange
 from beryljunction.systems import LoadTracker
 from beryljunction.wire import PEERS_PATH
 
