--- a/src/beryljunction/bench/control_messages.py
+++ b/src/beryljunction/bench/control_messages.py
@@ -7,9 +7,9 @@
 import httpcore
 
 from beryljunction.bench.settings_cost import measure_settings_cost
+from beryljunction.fleet_process.control_middleware import ControlMiddleware
+from beryljunction.fleet_process.traffic import CountingBackend
 from beryljunction.loads import LoadRow
-from beryljunction.node.front import ControlMiddleware
-from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import (
     Asgi,
     Receive,
--- a/src/beryljunction/bench/handover.py
+++ b/src/beryljunction/bench/handover.py
@@ -13,7 +13,7 @@
 import attrs
 import httpcore
 
-from beryljunction.entry.writers import ROUTE_HINT_HEADER
+from beryljunction.entry.response_writer import ROUTE_HINT_HEADER
 from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings
--- a/src/beryljunction/bench/relay_parts.py
+++ b/src/beryljunction/bench/relay_parts.py
@@ -11,7 +11,7 @@
 import anyio
 import httpcore
 
-from beryljunction.node import FleetProcess
+from beryljunction.fleet_process import FleetProcess
 from beryljunction.servers import (
     Asgi,
     Receive,
--- a/src/beryljunction/bench/settings_cost.py
+++ b/src/beryljunction/bench/settings_cost.py
@@ -7,7 +7,7 @@
 import anyio
 import attrs
 
-from beryljunction.node.traffic import CountingBackend
+from beryljunction.fleet_process.traffic import CountingBackend
 from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import (
     CHANGES_STREAM,
--- a/src/beryljunction/cli/asking.py
+++ b/src/beryljunction/cli/asking.py
@@ -10,7 +10,7 @@
 import attrs
 
 from beryljunction.errors import PlatformUnavailableError, SettingsError
-from beryljunction.node import OperatorClient
+from beryljunction.fleet_process import OperatorClient
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import load_file
 from beryljunction.settings.schema import OperatorFile
--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -8,8 +8,8 @@
 import anyio
 
 from beryljunction.errors import BerylError
+from beryljunction.fleet_process import FleetProcess
 from beryljunction.logs import configure_logging
-from beryljunction.node import FleetProcess
 from beryljunction.settings import EntryFile, ResolvedSettings, SidecarFile, load_file
 
 __all__ = ["run_daemon", "run_file", "serve"]
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -12,7 +12,7 @@
     ask_fleet,
     print_failures,
 )
-from beryljunction.node import OperatorClient
+from beryljunction.fleet_process import OperatorClient
 from beryljunction.operators import ProcessStatus
 from beryljunction.stores import HostRow
 
--- a/src/beryljunction/cli/entry.py
+++ b/src/beryljunction/cli/entry.py
@@ -3,7 +3,7 @@
 import pathlib
 
 from beryljunction.cli.daemons import run_daemon, serve
-from beryljunction.node import FleetProcess
+from beryljunction.fleet_process import FleetProcess
 from beryljunction.settings import EntryFile
 
 __all__ = ["main"]
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_desk.py
@@ -9,7 +9,7 @@
 from beryljunction.cli.asking import operator_client
 from beryljunction.cli.settings_output import EXIT_OK, print_log_down, print_problems
 from beryljunction.errors import PlatformUnavailableError, SettingsError
-from beryljunction.node import OperatorClient
+from beryljunction.fleet_process import OperatorClient
 from beryljunction.servers import create_client_pool
 from beryljunction.settings.files import load_file
 from beryljunction.settings.operator_session import OperatorSession
--- a/src/beryljunction/cli/status.py
+++ b/src/beryljunction/cli/status.py
@@ -6,7 +6,7 @@
 import attrs
 
 from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE, ask_fleet, print_failures, rows_of
-from beryljunction.node import OperatorClient
+from beryljunction.fleet_process import OperatorClient
 from beryljunction.operators import ProcessStatus
 
 __all__ = ["status"]
--- a/src/beryljunction/entry/__init__.py
+++ b/src/beryljunction/entry/__init__.py
@@ -1,6 +1,6 @@
 """Entries: the router processes that accept client requests."""
 
 from beryljunction.entry.app import EntryApp
-from beryljunction.entry.callers import ClientRequest
+from beryljunction.entry.client_requests import ClientRequest
 
 __all__ = ["ClientRequest", "EntryApp"]
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -9,13 +9,17 @@
 import anyio.abc
 import attrs
 
-from beryljunction.entry.callers import ApiKeyIndex, parse_chat_request, parse_plain_request
-from beryljunction.entry.exchanges import RequestContext
+from beryljunction.entry.client_requests import ApiKeyIndex, parse_chat_request, parse_plain_request
 from beryljunction.entry.relays import Relay
+from beryljunction.entry.request_state import RequestContext
+from beryljunction.entry.response_writer import (
+    IDEMPOTENCY_KEY_HEADER,
+    TICKET_HEADER,
+    ResponseWriter,
+)
 from beryljunction.entry.router import Router
-from beryljunction.entry.sidecars import SidecarClient
+from beryljunction.entry.sidecar_client import SidecarClient
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
-from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER, ResponseWriter
 from beryljunction.idle_timeouts import IdleTimeouts
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
--- a/src/beryljunction/entry/tries.py
+++ b/src/beryljunction/entry/attempt_runner.py
@@ -2,10 +2,10 @@
 
 import attrs
 
-from beryljunction.entry.exchanges import RequestContext
 from beryljunction.entry.relays import Relay
-from beryljunction.entry.sidecars import SidecarClient
-from beryljunction.entry.writers import ROUTE_HINT_HEADER
+from beryljunction.entry.request_state import RequestContext
+from beryljunction.entry.response_writer import ROUTE_HINT_HEADER
+from beryljunction.entry.sidecar_client import SidecarClient
 from beryljunction.outcomes import Refusal, RefusalCode
 from beryljunction.tables import Endpoint
 from beryljunction.timeline import Timeline
--- a/src/beryljunction/entry/relays.py
+++ b/src/beryljunction/entry/relays.py
@@ -9,13 +9,13 @@
 import anyio
 import attrs
 
-from beryljunction.entry.sidecars import (
+from beryljunction.entry.response_writer import ResponseWriter
+from beryljunction.entry.sidecar_client import (
     CONNECT_ERRORS,
     CONNECTION_ERRORS,
     SidecarClient,
     SidecarResponse,
 )
-from beryljunction.entry.writers import ResponseWriter
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.streams import SequenceChecker, StreamId
 from beryljunction.tables import Endpoint
--- a/src/beryljunction/entry/exchanges.py
+++ b/src/beryljunction/entry/request_state.py
@@ -3,7 +3,7 @@
 import attrs
 
 from beryljunction.entry.relays import Relay
-from beryljunction.entry.writers import ResponseWriter
+from beryljunction.entry.response_writer import ResponseWriter
 from beryljunction.servers import Scope
 
 __all__ = ["RequestContext"]
--- a/src/beryljunction/entry/router.py
+++ b/src/beryljunction/entry/router.py
@@ -5,12 +5,16 @@
 
 import attrs
 
-from beryljunction.entry.callers import ClientRequest
-from beryljunction.entry.exchanges import RequestContext
-from beryljunction.entry.sidecars import SidecarClient
-from beryljunction.entry.tickets import TicketRouter
-from beryljunction.entry.tries import AttemptRunner
-from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, ROUTE_HINT_HEADER, TICKET_HEADER
+from beryljunction.entry.attempt_runner import AttemptRunner
+from beryljunction.entry.client_requests import ClientRequest
+from beryljunction.entry.request_state import RequestContext
+from beryljunction.entry.response_writer import (
+    IDEMPOTENCY_KEY_HEADER,
+    ROUTE_HINT_HEADER,
+    TICKET_HEADER,
+)
+from beryljunction.entry.sidecar_client import SidecarClient
+from beryljunction.entry.ticket_router import TicketRouter
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.settings import ResolvedSettings
 from beryljunction.systems import (
--- a/src/beryljunction/entry/tickets.py
+++ b/src/beryljunction/entry/ticket_router.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from beryljunction.entry.exchanges import RequestContext
-from beryljunction.entry.sidecars import SidecarClient
-from beryljunction.entry.tries import AttemptRunner
-from beryljunction.entry.writers import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER
+from beryljunction.entry.attempt_runner import AttemptRunner
+from beryljunction.entry.request_state import RequestContext
+from beryljunction.entry.response_writer import IDEMPOTENCY_KEY_HEADER, TICKET_HEADER
+from beryljunction.entry.sidecar_client import SidecarClient
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.systems import (
     GiveUp,
--- /dev/null
+++ b/src/beryljunction/fleet_process/__init__.py
@@ -0,0 +1,22 @@
+"""Parts common to all fleet processes: listeners, host list, settings, metrics, shutdown."""
+
+from beryljunction.fleet_process.entry_role import EntryRole
+from beryljunction.fleet_process.fleet_client import HostResponses, OperatorClient
+from beryljunction.fleet_process.hosts import HostListCache, HostListWatcher
+from beryljunction.fleet_process.process import FleetProcess
+from beryljunction.fleet_process.roles import ProcessRole, RoleContext
+from beryljunction.fleet_process.sidecar_role import SidecarRole
+from beryljunction.operators import ProcessStatus
+
+__all__ = [
+    "HostResponses",
+    "EntryRole",
+    "HostListWatcher",
+    "HostListCache",
+    "FleetProcess",
+    "ProcessRole",
+    "ProcessStatus",
+    "OperatorClient",
+    "RoleContext",
+    "SidecarRole",
+]
--- a/src/beryljunction/node/entry_role.py
+++ b/src/beryljunction/fleet_process/entry_role.py
@@ -7,7 +7,7 @@
 import attrs
 
 from beryljunction.entry import EntryApp
-from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
+from beryljunction.fleet_process.roles import LEAVING, ProcessRole, RoleContext
 from beryljunction.operators import ProcessStatus
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stores import HostRow
--- a/src/beryljunction/node/process.py
+++ b/src/beryljunction/fleet_process/process.py
@@ -12,15 +12,19 @@
 import attrs
 import httpcore
 
+from beryljunction.fleet_process.control_middleware import ControlMiddleware
+from beryljunction.fleet_process.entry_role import EntryRole
+from beryljunction.fleet_process.hosts import HostListWatcher
+from beryljunction.fleet_process.operator_listener import (
+    OperatorKeyMiddleware,
+    operator_app,
+    operator_key_digests,
+)
+from beryljunction.fleet_process.roles import ProcessRole, RoleContext
+from beryljunction.fleet_process.sidecar_role import SidecarRole
+from beryljunction.fleet_process.traffic import CountingBackend
 from beryljunction.logs import EventLogger
 from beryljunction.metrics import Metrics, MetricsMiddleware
-from beryljunction.node.entry_role import EntryRole
-from beryljunction.node.front import ControlMiddleware
-from beryljunction.node.hosts import HostListWatcher
-from beryljunction.node.operator import OperatorKeyMiddleware, operator_app, operator_key_digests
-from beryljunction.node.roles import ProcessRole, RoleContext
-from beryljunction.node.sidecar_role import SidecarRole
-from beryljunction.node.traffic import CountingBackend
 from beryljunction.operators import ProcessStatus
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import (
--- a/src/beryljunction/node/sidecar_role.py
+++ b/src/beryljunction/fleet_process/sidecar_role.py
@@ -14,7 +14,7 @@
     RequestGate,
     handle_row_exchange,
 )
-from beryljunction.node.roles import LEAVING, ProcessRole, RoleContext
+from beryljunction.fleet_process.roles import LEAVING, ProcessRole, RoleContext
 from beryljunction.operators import ProcessStatus
 from beryljunction.servers import Receive, Scope, Send, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -9,6 +9,7 @@
 import attrs
 
 from beryljunction.errors import InvariantError
+from beryljunction.fleet_process import FleetProcess
 from beryljunction.local.demo_view import (
     DEMO_REGION,
     DEMO_ZONES,
@@ -16,7 +17,6 @@
     settings_by_path,
 )
 from beryljunction.local.standins import start_endpoint
-from beryljunction.node import FleetProcess
 from beryljunction.servers import Asgi, Server, bind_listener
 from beryljunction.settings import (
     EntryFile,
--- a/testing/test_node.py
+++ b/testing/test_fleet_process.py
@@ -18,6 +18,13 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import PlatformUnavailableError
+from beryljunction.fleet_process import (
+    EntryRole,
+    HostListCache,
+    HostListWatcher,
+    RoleContext,
+    SidecarRole,
+)
 from beryljunction.local import (
     DEMO_API_KEY,
     LocalFleetSize,
@@ -25,7 +32,6 @@
     demo_view,
     write_process_files,
 )
-from beryljunction.node import EntryRole, HostListCache, HostListWatcher, RoleContext, SidecarRole
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import (
     EntryFile,
--- a/testing/test_load_exchange.py
+++ b/testing/test_load_exchange.py
@@ -4,9 +4,9 @@
 import anyio
 import pytest
 
+from beryljunction.fleet_process.control_middleware import ControlMiddleware
+from beryljunction.fleet_process.traffic import CountingBackend
 from beryljunction.loads import LoadRow
-from beryljunction.node.front import ControlMiddleware
-from beryljunction.node.traffic import CountingBackend
 from beryljunction.servers import Server, bind_listener, create_client_pool, send_response
 from beryljunction.sidecar.load_exchange import LoadExchange
 from beryljunction.systems import LoadTracker
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -13,7 +13,7 @@
 from beryljunction.cli.status import status
 from beryljunction.cli.timeline import timeline
 from beryljunction.errors import StartError
-from beryljunction.node import FleetProcess
+from beryljunction.fleet_process import FleetProcess
 from beryljunction.servers import Server, bind_listener, create_client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, TlsSettings
 from beryljunction.standins import HostListStandIn
