--- a/src/beryljunction/bench/handover.py
+++ b/src/beryljunction/bench/handover.py
@@ -14,7 +14,7 @@
 import httpcore
 
 from beryljunction.entry.response_writer import ROUTE_HINT_HEADER
-from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view
+from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_settings
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import ResolvedSettings
 
@@ -106,7 +106,7 @@
 
 def _view(handed_on: bool) -> ResolvedSettings:
     """Return settings by which the stop does not wait long for callers that are done."""
-    view = demo_view()
+    view = demo_settings()
     service = attrs.evolve(view.services[_SERVICE], resume_s=1.0)
     if not handed_on:
         service = attrs.evolve(service, handover_s=0.0)
--- a/src/beryljunction/bench/slopes/carried.py
+++ b/src/beryljunction/bench/slopes/carried.py
@@ -9,7 +9,7 @@
 from beryljunction.bench.slopes.load import LoadCount, open_streams, paced_calls
 from beryljunction.bench.slopes.rig import Node, Rig, free_address, open_rig
 from beryljunction.bench.slopes.spending import Window, at_each, spend_under_load, sum_cpu
-from beryljunction.local.demo_view import demo_view
+from beryljunction.local.demo_settings import demo_settings
 from beryljunction.local.files import StandInEndpoint
 
 __all__ = ["frames_a_second", "idempotent_requests", "streams_open", "ticketed_requests"]
@@ -33,7 +33,7 @@
 
 async def _requests_a_second(subject: str, method: str, window: Window) -> list[Slope]:
     entry_points, sidecar_points = [], []
-    async with open_rig(demo_view()) as rig:
+    async with open_rig(demo_settings()) as rig:
         entry, sidecars = await _serving(rig)
         for rate_per_s in (10.0, 20.0, 40.0, 80.0):
             count = LoadCount()
@@ -50,7 +50,7 @@
 async def frames_a_second(window: Window) -> list[Slope]:
     """Processor time against relayed frames."""
     entry_points, sidecar_points = [], []
-    async with open_rig(demo_view()) as rig:
+    async with open_rig(demo_settings()) as rig:
         entry, sidecars = await _serving(rig)
         for streams in (4, 8, 16, 32):
             count = LoadCount()
@@ -68,7 +68,7 @@
     """Resident memory against open streams."""
 
     async def measure(streams: int) -> tuple[Point, Point]:
-        async with open_rig(demo_view()) as rig:
+        async with open_rig(demo_settings()) as rig:
             entry, sidecars = await _serving(rig)
             count = LoadCount()
             load = functools.partial(open_streams, rig, entry, streams, _LONG_TOKENS, count)
--- a/src/beryljunction/bench/slopes/known.py
+++ b/src/beryljunction/bench/slopes/known.py
@@ -12,7 +12,7 @@
 from beryljunction.bench.slopes.rig import open_rig
 from beryljunction.bench.slopes.spending import Spent, Window, at_each, spend, spend_under_load
 from beryljunction.errors import InvariantError
-from beryljunction.local.demo_view import demo_view
+from beryljunction.local.demo_settings import demo_settings
 from beryljunction.settings import CHANGES_STREAM, AccountSettings
 from beryljunction.settings.changes import Change, Edit
 from beryljunction.stores import Appended, HostRow, HttpLogClient, LogClient
@@ -30,7 +30,7 @@
     """An idle entry against the endpoints on the host list."""
 
     async def measure(count: int) -> Spent:
-        async with open_rig(demo_view()) as rig:
+        async with open_rig(demo_settings()) as rig:
             await rig.start_standins([_listed(number) for number in range(count)])
             (spent,) = await spend(rig, [await rig.start_entry()], window)
         return spent
@@ -48,7 +48,7 @@
             f"account-{i}": AccountSettings(hashlib.sha256(b"%d" % i).hexdigest(), 1.0)
             for i in range(count)
         }
-        async with open_rig(attrs.evolve(demo_view(), accounts=accounts)) as rig:
+        async with open_rig(attrs.evolve(demo_settings(), accounts=accounts)) as rig:
             await rig.start_standins([_listed(0)])
             (spent,) = await spend(rig, [await rig.start_entry()], window)
         return Point(count, spent.resident_bytes)
@@ -61,7 +61,7 @@
     """Idle sidecars that exchange load rows, against their number."""
 
     async def measure(count: int) -> Spent:
-        async with open_rig(demo_view()) as rig:
+        async with open_rig(demo_settings()) as rig:
             endpoints = [(f"drafter-{i}", "drafter", "127.0.0.1:1") for i in range(count)]
             nodes = await rig.start_sidecars(endpoints)
             await rig.start_standins([node.row for node in nodes])
@@ -93,7 +93,7 @@
 async def changes_a_second(window: Window) -> list[Slope]:
     """Control traffic and processor time of an entry against accepted settings changes."""
     cpu, control = [], []
-    async with open_rig(demo_view()) as rig:
+    async with open_rig(demo_settings()) as rig:
         await rig.start_standins([_listed(0)])
         entry = await rig.start_entry()
         log = HttpLogClient(rig.log_address, rig.pool)
--- a/src/beryljunction/bench/slopes/rig.py
+++ b/src/beryljunction/bench/slopes/rig.py
@@ -21,7 +21,7 @@
 
 from beryljunction.bench.usage import Usage, usage_of
 from beryljunction.errors import StartError
-from beryljunction.local.demo_view import DEMO_REGION, DEMO_ZONES, settings_by_path
+from beryljunction.local.demo_settings import DEMO_REGION, DEMO_ZONES, settings_by_path
 from beryljunction.local.files import StandInEndpoint, StandInsFile
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from beryljunction.cli.asking import (
+from beryljunction.cli.fleet_commands import (
     DEFAULT_OPERATOR_FILE,
     EXIT_INVALID,
     EXIT_OK,
--- a/src/beryljunction/cli/mechanisms.py
+++ b/src/beryljunction/cli/mechanisms.py
@@ -4,7 +4,7 @@
 import pathlib
 import sys
 
-from beryljunction.cli.asking import EXIT_INVALID, EXIT_OK
+from beryljunction.cli.fleet_commands import EXIT_INVALID, EXIT_OK
 from beryljunction.errors import SettingsError
 from beryljunction.platform.deployfile import read_deploy_file
 from beryljunction.routing import Mechanism, list_switches
--- a/src/beryljunction/cli/settings.py
+++ b/src/beryljunction/cli/settings.py
@@ -10,10 +10,10 @@
 import anyio
 import tomli_w
 
-from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE
+from beryljunction.cli.fleet_commands import DEFAULT_OPERATOR_FILE
 from beryljunction.cli.mechanisms import DEFAULT_DEPLOY_FILE, MECHANISMS_PATH, explain_mechanisms
 from beryljunction.cli.settings_change import set_, unset
-from beryljunction.cli.settings_desk import SettingsContext, with_session
+from beryljunction.cli.settings_context import SettingsContext, with_session
 from beryljunction.cli.settings_output import (
     EXIT_OK,
     EXIT_REFUSED_OR_DIFFERENT,
--- a/src/beryljunction/cli/settings_change.py
+++ b/src/beryljunction/cli/settings_change.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE
-from beryljunction.cli.settings_desk import SettingsContext, with_session
+from beryljunction.cli.fleet_commands import DEFAULT_OPERATOR_FILE
+from beryljunction.cli.settings_context import SettingsContext, with_session
 from beryljunction.cli.settings_output import EXIT_OK, print_not_in_force, print_problems, say
 from beryljunction.settings.changes import Edit
 from beryljunction.settings.files import load_toml
--- a/src/beryljunction/cli/settings_desk.py
+++ b/src/beryljunction/cli/settings_context.py
@@ -6,7 +6,7 @@
 import anyio
 import attrs
 
-from beryljunction.cli.asking import operator_client
+from beryljunction.cli.fleet_commands import operator_client
 from beryljunction.cli.settings_output import EXIT_OK, print_log_down, print_problems
 from beryljunction.errors import PlatformUnavailableError, SettingsError
 from beryljunction.fleet_process import OperatorClient
--- a/src/beryljunction/cli/timeline.py
+++ b/src/beryljunction/cli/timeline.py
@@ -6,7 +6,12 @@
 
 import attrs
 
-from beryljunction.cli.asking import DEFAULT_OPERATOR_FILE, ask_fleet, print_failures, rows_of
+from beryljunction.cli.fleet_commands import (
+    DEFAULT_OPERATOR_FILE,
+    ask_fleet,
+    print_failures,
+    rows_of,
+)
 from beryljunction.fleet_process import OperatorClient
 from beryljunction.timeline import Event, merge_events
 
--- a/src/beryljunction/local/__init__.py
+++ b/src/beryljunction/local/__init__.py
@@ -1,11 +1,11 @@
 """Runs a whole fleet on one host, for newcomers, demos and tests."""
 
 from beryljunction.local.demo import DemoResult, print_demo, run_demo
-from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
+from beryljunction.local.demo_settings import DEMO_API_KEY, demo_settings
 from beryljunction.local.files import LocalFleetSize, StandInsFile, write_process_files
 from beryljunction.local.fleet import LocalFleet
+from beryljunction.local.interactive_fleet import run_interactive_fleet
 from beryljunction.local.platform import LocalPlatformFleet, run_interactive_platform
-from beryljunction.local.serving import run_interactive_fleet
 from beryljunction.local.standins import run_standins
 
 __all__ = [
@@ -15,7 +15,7 @@
     "LocalFleet",
     "LocalPlatformFleet",
     "StandInsFile",
-    "demo_view",
+    "demo_settings",
     "print_demo",
     "run_demo",
     "run_standins",
--- a/src/beryljunction/local/demo.py
+++ b/src/beryljunction/local/demo.py
@@ -10,7 +10,7 @@
 import attrs
 import httpcore
 
-from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
+from beryljunction.local.demo_settings import DEMO_API_KEY, demo_settings
 from beryljunction.local.fleet import LocalFleet
 from beryljunction.servers import create_client_pool
 
@@ -91,7 +91,7 @@
     """Start a fleet and send requests to it while endpoints are shut down and replaced."""
     result = DemoResult()
     async with anyio.create_task_group() as group, create_client_pool() as pool:
-        fleet = LocalFleet(group, demo_view())
+        fleet = LocalFleet(group, demo_settings())
         for service in fleet.view.services:
             for number in range(_ENDPOINTS_PER_SERVICE):
                 await fleet.add_endpoint(f"{service}-{number}", service)
--- a/src/beryljunction/local/demo_view.py
+++ b/src/beryljunction/local/demo_settings.py
@@ -16,7 +16,7 @@
     "DEMO_OPERATOR",
     "DEMO_REGION",
     "DEMO_ZONES",
-    "demo_view",
+    "demo_settings",
     "settings_by_path",
     "publish_settings",
 ]
@@ -28,7 +28,7 @@
 DEMO_ZONES = ("ahd-a", "ahd-b", "gnr-a", "vad-a")
 
 
-def demo_view() -> ResolvedSettings:
+def demo_settings() -> ResolvedSettings:
     """Return the settings of the demo: two model services and a plain service."""
     digest = hashlib.sha256(DEMO_API_KEY.encode()).hexdigest()
     return ResolvedSettings(
--- a/src/beryljunction/local/files.py
+++ b/src/beryljunction/local/files.py
@@ -8,11 +8,11 @@
 import cattrs
 import tomli_w
 
-from beryljunction.local.demo_view import (
+from beryljunction.local.demo_settings import (
     DEMO_OPERATOR,
     DEMO_REGION,
     DEMO_ZONES,
-    demo_view,
+    demo_settings,
     settings_by_path,
 )
 from beryljunction.settings import EntryFile, ProcessSettings, ResolvedSettings, SidecarFile
@@ -138,7 +138,7 @@
     view: ResolvedSettings | None = None,
 ) -> list[str]:
     """Write a file for each process and return the entries' addresses."""
-    view = view if view is not None else demo_view()
+    view = view if view is not None else demo_settings()
     writer = _FleetFileWriter(directory, ports, view)
     entries = [writer.add_entry(number) for number in range(size.entries)]
     for service in view.services:
--- a/src/beryljunction/local/fleet.py
+++ b/src/beryljunction/local/fleet.py
@@ -10,7 +10,7 @@
 
 from beryljunction.errors import InvariantError
 from beryljunction.fleet_process import FleetProcess
-from beryljunction.local.demo_view import (
+from beryljunction.local.demo_settings import (
     DEMO_REGION,
     DEMO_ZONES,
     publish_settings,
--- a/src/beryljunction/local/serving.py
+++ b/src/beryljunction/local/interactive_fleet.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from beryljunction.local.demo_view import DEMO_API_KEY, demo_view
+from beryljunction.local.demo_settings import DEMO_API_KEY, demo_settings
 from beryljunction.local.fleet import LocalFleet
 
 __all__ = ["run_interactive_fleet"]
@@ -22,7 +22,7 @@
 async def run_interactive_fleet(endpoints: int) -> None:
     """Run two entries, endpoints of each service and stand-ins; print example commands."""
     async with anyio.create_task_group() as group:
-        fleet = LocalFleet(group, demo_view())
+        fleet = LocalFleet(group, demo_settings())
         for service in fleet.view.services:
             for number in range(endpoints):
                 await fleet.add_endpoint(f"{service}-{number}", service)
--- a/src/beryljunction/local/standins.py
+++ b/src/beryljunction/local/standins.py
@@ -6,7 +6,7 @@
 import anyio
 import anyio.abc
 
-from beryljunction.local.demo_view import publish_settings
+from beryljunction.local.demo_settings import publish_settings
 from beryljunction.local.files import StandInsFile
 from beryljunction.servers import Server, bind_listener
 from beryljunction.standins import (
--- a/testing/test_fleet_process.py
+++ b/testing/test_fleet_process.py
@@ -29,7 +29,7 @@
     DEMO_API_KEY,
     LocalFleetSize,
     StandInsFile,
-    demo_view,
+    demo_settings,
     write_process_files,
 )
 from beryljunction.servers import create_client_pool
@@ -52,7 +52,7 @@
 
 def short_lived_view():
     """Return settings under which a stopping sidecar keeps answers for one second only."""
-    view = demo_view()
+    view = demo_settings()
     services = {
         name: attrs.evolve(service, resume_s=1.0) for name, service in view.services.items()
     }
--- a/testing/test_fleet_process_orders.py
+++ b/testing/test_fleet_process_orders.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from beryljunction.local import LocalFleet, demo_view
+from beryljunction.local import LocalFleet, demo_settings
 from beryljunction.settings import Edit
 from beryljunction.settings.operator_session import OperatorSession
 from beryljunction.settings.publishing import InForce
@@ -15,7 +15,7 @@
     def test_published_model_version_reaches_engines_but_not_plain_services(self):
         async def run():
             async with anyio.create_task_group() as group:
-                fleet = LocalFleet(group, demo_view())
+                fleet = LocalFleet(group, demo_settings())
                 engines = [
                     (await fleet.add_endpoint(f"drafter-{i}", "drafter")).app for i in (0, 1)
                 ]
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -6,7 +6,7 @@
 import httpcore
 import pytest
 
-from beryljunction.local import DEMO_API_KEY, DemoResult, LocalFleet, demo_view
+from beryljunction.local import DEMO_API_KEY, DemoResult, LocalFleet, demo_settings
 from beryljunction.servers import create_client_pool
 from beryljunction.settings import TlsSettings
 
@@ -23,7 +23,7 @@
     def test_fleet_runs_over_tls_and_a_sidecar_requires_a_client_certificate(self):
         async def run():
             async with anyio.create_task_group() as group:
-                fleet = LocalFleet(group, demo_view(), tls_settings())
+                fleet = LocalFleet(group, demo_settings(), tls_settings())
                 local = await fleet.add_endpoint("ledger-0", "ledger")
                 entry = await fleet.add_entry()
                 await fleet.wait_until_ready()
@@ -45,7 +45,7 @@
     def test_replaced_endpoint_has_a_new_incarnation_and_receives_requests(self):
         async def run():
             async with anyio.create_task_group() as group, create_client_pool() as pool:
-                fleet = LocalFleet(group, demo_view())
+                fleet = LocalFleet(group, demo_settings())
                 before = await fleet.add_endpoint("ledger-0", "ledger")
                 entry = await fleet.add_entry()
                 await fleet.wait_until_ready()
--- a/testing/test_path.py
+++ b/testing/test_path.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_view, run_demo
+from beryljunction.local import DEMO_API_KEY, LocalFleet, demo_settings, run_demo
 from beryljunction.servers import create_client_pool
 
 
@@ -35,7 +35,7 @@
     def test_is_refused_with_an_error_code(self, key, body, status, code):
         async def ask():
             async with anyio.create_task_group() as group, create_client_pool() as pool:
-                entry = await LocalFleet(group, demo_view()).add_entry()
+                entry = await LocalFleet(group, demo_settings()).add_entry()
                 response = await pool.request(
                     "POST",
                     f"{entry}/v1/chat/completions",
