--- a/src/beryljunction/cli/daemons.py
+++ b/src/beryljunction/cli/daemons.py
@@ -9,7 +9,7 @@
 
 from beryljunction.errors import BerylError
 from beryljunction.fleet_process import FleetProcess
-from beryljunction.logs import configure_logging
+from beryljunction.logging_setup import configure_logging
 from beryljunction.settings import EntryFile, ResolvedSettings, SidecarFile, load_file
 
 __all__ = ["run_daemon", "run_file", "serve"]
--- a/src/beryljunction/cli/drain.py
+++ b/src/beryljunction/cli/drain.py
@@ -13,7 +13,7 @@
     print_failures,
 )
 from beryljunction.fleet_process import OperatorClient
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.stores import HostRow
 
 __all__ = ["drain"]
--- a/src/beryljunction/cli/platform_entry.py
+++ b/src/beryljunction/cli/platform_entry.py
@@ -4,7 +4,7 @@
 import os
 import sys
 
-from beryljunction.listening import EARLY_LISTEN_VARIABLE, open_early_listener
+from beryljunction.early_listener import EARLY_LISTEN_VARIABLE, open_early_listener
 
 __all__ = ["main"]
 
--- a/src/beryljunction/cli/status.py
+++ b/src/beryljunction/cli/status.py
@@ -12,7 +12,7 @@
     rows_of,
 )
 from beryljunction.fleet_process import OperatorClient
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 
 __all__ = ["status"]
 
--- a/src/beryljunction/entry/app.py
+++ b/src/beryljunction/entry/app.py
@@ -20,11 +20,11 @@
 from beryljunction.entry.router import Router
 from beryljunction.entry.sidecar_client import SidecarClient
 from beryljunction.entry.uploads import UPLOAD_RETRY_S, UploadReader
+from beryljunction.graceful_stop import Stoppable
 from beryljunction.idle_timeouts import IdleTimeouts
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, cancel_on_disconnect, create_client_pool
 from beryljunction.settings import EntryFile, ResolvedSettings
-from beryljunction.stops import Stoppable
 from beryljunction.streams import parse_event_id
 from beryljunction.systems import MembershipTracker
 from beryljunction.tables import EndpointTable
--- a/src/beryljunction/fleet_process/__init__.py
+++ b/src/beryljunction/fleet_process/__init__.py
@@ -6,7 +6,7 @@
 from beryljunction.fleet_process.process import FleetProcess
 from beryljunction.fleet_process.roles import ProcessRole, RoleContext
 from beryljunction.fleet_process.sidecar_role import SidecarRole
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 
 __all__ = [
     "HostResponses",
--- a/src/beryljunction/fleet_process/entry_role.py
+++ b/src/beryljunction/fleet_process/entry_role.py
@@ -8,7 +8,7 @@
 
 from beryljunction.entry import EntryApp
 from beryljunction.fleet_process.roles import LEAVING, ProcessRole, RoleContext
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.settings import EntryFile, ResolvedSettings
 from beryljunction.stores import HostRow
 from beryljunction.systems import ListedEndpoint
--- a/src/beryljunction/fleet_process/fleet_client.py
+++ b/src/beryljunction/fleet_process/fleet_client.py
@@ -9,7 +9,7 @@
 import attrs
 import httpcore
 
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus
+from beryljunction.operator_api import EVENTS_PATH, STATUS_PATH, ProcessStatus
 from beryljunction.stores import HostRow, HttpHostList
 from beryljunction.timeline import HLC_HEADER, Event, HybridClock
 from beryljunction.wire import DRAIN_PATH, Drain, decode, encode
--- a/src/beryljunction/fleet_process/operator_listener.py
+++ b/src/beryljunction/fleet_process/operator_listener.py
@@ -13,7 +13,12 @@
 
 from beryljunction.errors import StartError
 from beryljunction.metrics import Metrics
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus, is_operator_authorized
+from beryljunction.operator_api import (
+    EVENTS_PATH,
+    STATUS_PATH,
+    ProcessStatus,
+    is_operator_authorized,
+)
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Asgi, Receive, Scope, Send, send_response
 from beryljunction.settings import ProcessSettings
--- a/src/beryljunction/fleet_process/process.py
+++ b/src/beryljunction/fleet_process/process.py
@@ -23,9 +23,10 @@
 from beryljunction.fleet_process.roles import ProcessRole, RoleContext
 from beryljunction.fleet_process.sidecar_role import SidecarRole
 from beryljunction.fleet_process.traffic import CountingBackend
-from beryljunction.logs import EventLogger
+from beryljunction.graceful_stop import DRAIN_DELAY_S, GracefulStop
+from beryljunction.logging_setup import EventLogger
 from beryljunction.metrics import Metrics, MetricsMiddleware
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import (
     Asgi,
@@ -49,7 +50,6 @@
     SidecarFile,
     serve_settings,
 )
-from beryljunction.stops import DRAIN_DELAY_S, GracefulStop
 from beryljunction.stores import HttpHostList, HttpLogClient
 from beryljunction.tls import TlsContexts
 
--- a/src/beryljunction/fleet_process/roles.py
+++ b/src/beryljunction/fleet_process/roles.py
@@ -8,10 +8,10 @@
 import attrs
 import httpcore
 
-from beryljunction.operators import ProcessStatus
+from beryljunction.graceful_stop import Stoppable
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.servers import Asgi
 from beryljunction.settings import ProcessSettings, ResolvedSettings
-from beryljunction.stops import Stoppable
 from beryljunction.stores import HostRow, LogClient
 from beryljunction.timeline import Timeline
 
--- a/src/beryljunction/fleet_process/sidecar_role.py
+++ b/src/beryljunction/fleet_process/sidecar_role.py
@@ -15,7 +15,7 @@
     handle_row_exchange,
 )
 from beryljunction.fleet_process.roles import LEAVING, ProcessRole, RoleContext
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.servers import Receive, Scope, Send, create_client_pool
 from beryljunction.settings import ResolvedSettings, ServiceSettings, SidecarFile
 from beryljunction.sidecar import SidecarApp
--- a/src/beryljunction/gateway/events.py
+++ b/src/beryljunction/gateway/events.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from beryljunction.gateway.metrics import EntryMetrics
-from beryljunction.logs import format_key_values, key_value_formatter
+from beryljunction.logging_setup import format_key_values, key_value_formatter
 from beryljunction.timeline import Timeline
 
 __all__ = ["EntryEventLog", "LineWriter"]
--- a/src/beryljunction/gateway/operators.py
+++ b/src/beryljunction/gateway/operators.py
@@ -11,7 +11,12 @@
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.messages import HttpRequest
 from beryljunction.gateway.probes import ProbeHandler
-from beryljunction.operators import EVENTS_PATH, STATUS_PATH, ProcessStatus, is_operator_authorized
+from beryljunction.operator_api import (
+    EVENTS_PATH,
+    STATUS_PATH,
+    ProcessStatus,
+    is_operator_authorized,
+)
 
 __all__ = ["OperatorHandler", "operator_digests"]
 
--- a/src/beryljunction/gateway/process.py
+++ b/src/beryljunction/gateway/process.py
@@ -11,6 +11,7 @@
 import anyio.abc
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.early_listener import open_listener
 from beryljunction.errors import SettingsError, StartError
 from beryljunction.gateway.callers import CallerConnection, CallerHandler
 from beryljunction.gateway.config_watcher import ConfigWatcher
@@ -28,8 +29,7 @@
 from beryljunction.gateway.update_client import HttpUpdateClient
 from beryljunction.gateway.update_publisher import UpdatePublisher
 from beryljunction.gateway.update_receiver import UpdateReceiver
-from beryljunction.listening import open_listener
-from beryljunction.operators import ProcessStatus
+from beryljunction.operator_api import ProcessStatus
 from beryljunction.platform import (
     SETTINGS_VARIABLE,
     HostSettings,
--- a/src/beryljunction/connections.py
+++ b/src/beryljunction/httpcore_backend.py
@@ -2,7 +2,7 @@
 
 httpcore's own stream enters a timeout scope and an exception map for every read, even without a
 timeout. On an open stream this is a third of the cost of a read apart from the system call, and
-each pending read holds kilobytes for it. One ticker (:mod:`beryljunction.watches`) enforces the
+each pending read holds kilobytes for it. One ticker (:mod:`beryljunction.idle_timeouts`) enforces the
 idle timeouts of our streams, so their reads don't need it. Everything else is left to httpcore.
 """
 
--- a/src/beryljunction/servers/pools.py
+++ b/src/beryljunction/servers/pools.py
@@ -4,7 +4,7 @@
 
 import httpcore
 
-from beryljunction.connections import UntimedReadBackend
+from beryljunction.httpcore_backend import UntimedReadBackend
 
 __all__ = ["create_client_pool", "close_idle_connections"]
 
--- a/src/beryljunction/sidecar/app.py
+++ b/src/beryljunction/sidecar/app.py
@@ -11,6 +11,7 @@
 import httpcore
 
 from beryljunction.clocks import boot_time_s
+from beryljunction.graceful_stop import Stoppable
 from beryljunction.outcomes import ExecutionStatus, Refusal, RefusalCode
 from beryljunction.servers import Receive, Scope, Send, create_client_pool, read_body
 from beryljunction.settings import ResolvedSettings, SidecarFile
@@ -22,7 +23,6 @@
 from beryljunction.sidecar.readers import ReadRequest, serve_reader
 from beryljunction.sidecar.run_manager import RunManager
 from beryljunction.sidecar.writers import ResponseWriter
-from beryljunction.stops import Stoppable
 from beryljunction.stores import HttpLogClient
 from beryljunction.systems import HandoverLimits, HandoverPlanner
 from beryljunction.tables import Answer, EndpointTable
--- a/src/beryljunction/sidecar/control_routes.py
+++ b/src/beryljunction/sidecar/control_routes.py
@@ -5,7 +5,7 @@
 import anyio.abc
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.operators import STATUS_PATH
+from beryljunction.operator_api import STATUS_PATH
 from beryljunction.settings import SidecarFile
 from beryljunction.sidecar.calls import Call, Handler
 from beryljunction.sidecar.keys import KeyClaims
--- a/src/beryljunction/streams.py
+++ b/src/beryljunction/streams.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from beryljunction.framelog import ReplayBuffer
+from beryljunction.replay_buffer import ReplayBuffer
 
 __all__ = [
     "DONE",
--- a/testing/test_listening.py
+++ b/testing/test_early_listener.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryljunction.listening import open_early_listener, open_listener
+from beryljunction.early_listener import open_early_listener, open_listener
 
 
 class TestListenEarly:
--- a/testing/test_entry_peers.py
+++ b/testing/test_entry_peers.py
@@ -5,6 +5,7 @@
 import attrs
 import pytest
 
+from beryljunction.early_listener import open_listener
 from beryljunction.gateway import config_watcher, peers, state, store_view
 from beryljunction.gateway.config_watcher import ConfigWatcher
 from beryljunction.gateway.endpoint_watcher import EndpointWatcher
@@ -15,7 +16,6 @@
 from beryljunction.gateway.state import EntryState
 from beryljunction.gateway.store_view import StoreView, local_store_view
 from beryljunction.gateway.updates import ZoneUpdate
-from beryljunction.listening import open_listener
 from beryljunction.platform import DeploymentBounds, HostSettings, Record, Unavailable, WriteOutcome
 from beryljunction.platform.store import Store
 from beryljunction.routing import PeerTable, should_ask_peers
--- a/testing/test_gateway_process.py
+++ b/testing/test_gateway_process.py
@@ -4,9 +4,9 @@
 import attrs
 import pytest
 
+from beryljunction.early_listener import open_listener
 from beryljunction.gateway.events import EntryEventLog
 from beryljunction.gateway.process import EntryProcess
-from beryljunction.listening import open_listener
 from beryljunction.platform import DeploymentBounds
 from entry_harness import event, open_harness, read_answer, route
 
--- a/testing/test_stops.py
+++ b/testing/test_graceful_stop.py
@@ -3,7 +3,7 @@
 import pytest
 
 from beryljunction.clocks import boot_time_s
-from beryljunction.stops import GracefulStop, Stoppable
+from beryljunction.graceful_stop import GracefulStop, Stoppable
 from beryljunction.tables import Endpoint
 from beryljunction.wire import ATTACH_PATH, DRAIN_PATH, Attach, Drain, Envelope
 from path_fakes import (
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -5,9 +5,9 @@
 import attrs
 import pytest
 
+from beryljunction.graceful_stop import GracefulStop
 from beryljunction.servers import send_response
 from beryljunction.standins import EngineModel, EngineStandIn
-from beryljunction.stops import GracefulStop
 from beryljunction.systems import (
     EndpointSelector,
     HandoverLimits,
--- a/testing/test_connections.py
+++ b/testing/test_httpcore_backend.py
@@ -5,7 +5,7 @@
 import httpcore
 import pytest
 
-from beryljunction.connections import UntimedReadBackend
+from beryljunction.httpcore_backend import UntimedReadBackend
 
 pytestmark = pytest.mark.anyio
 
--- a/testing/test_watches.py
+++ b/testing/test_idle_timeouts.py
@@ -1,6 +1,7 @@
 import anyio
 import httpcore
 import pytest
+
 from beryljunction.idle_timeouts import IdleTimeouts
 
 
--- a/testing/test_logs.py
+++ b/testing/test_logging_setup.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from beryljunction.logs import EventLogger, configure_logging
+from beryljunction.logging_setup import EventLogger, configure_logging
 from beryljunction.timeline import Timeline
 
 
