--- a/src/beryljunction/engines/control.py
+++ b/src/beryljunction/engines/control.py
@@ -97,7 +97,7 @@
         self._pool = pool
 
     async def read_state(self) -> EngineState | NoEngine:
-        """Read the state; see :meth:`EngineControl.state`."""
+        """Read the state; see :meth:`EngineControl.read_state`."""
         try:
             response = await self._request("GET", _ENGINE_STATE_PATH, b"")
             if response.status != 200:
@@ -109,7 +109,7 @@
             return NoEngine(str(error))
 
     async def send_order(self, order: Order) -> OrderOutcome:
-        """Send an order; see :meth:`EngineControl.order`."""
+        """Send an order; see :meth:`EngineControl.send_order`."""
         body = json.dumps(attrs.asdict(order)).encode()
         try:
             response = await self._request("PUT", _ENGINE_ORDERS_PATH, body)
--- a/src/beryljunction/engines/rollout_peers.py
+++ b/src/beryljunction/engines/rollout_peers.py
@@ -44,7 +44,7 @@
         self._fleet_key = fleet_key.encode()
 
     def endpoint_ids(self) -> list[str]:
-        """Return the ids of the other endpoints; see :meth:`RolloutPeers.listed`."""
+        """Return the ids of the other endpoints; see :meth:`RolloutPeers.endpoint_ids`."""
         return list(self._addresses())
 
     async def exchange(self, own: OrderRow) -> list[OrderRow]:
--- a/src/beryljunction/sidecar/load_exchange.py
+++ b/src/beryljunction/sidecar/load_exchange.py
@@ -1,4 +1,4 @@
-"""Gossip of load rows between the sidecars of one service, with one peer at a time.
+"""Exchange of load rows between the sidecars of one service, with one peer at a time.
 
 A message contains the sender's own row, as many rows of others as the byte budget allows, and the
 sender's settings version. The answer contains only a version: rows in both directions would double
--- a/src/beryljunction/sidecar/readers.py
+++ b/src/beryljunction/sidecar/readers.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class ReadRequest:
-    """Who reads a run, and from which position.
+    """A request to read a run from a position on.
 
     Attributes:
         request_id: The reader's own request, which has only one connection at a time.
--- a/src/beryljunction/sidecar/runs.py
+++ b/src/beryljunction/sidecar/runs.py
@@ -63,7 +63,7 @@
         ran: Whether the endpoint ran the request, as far as this sidecar can prove it.
         admission_decided: Set when the request may start or was refused.
         scope: Cancelled to end the run.
-        data_available: Notified when there is new data to read.
+        data_available: Notified when there is data to read, a heartbeat is due or the run ended.
         data_read: Notified when a reader has read frames.
         streaming: Whether the answer is a stream; frames are in ``log``.
         complete: Whether the stream ended cleanly.
@@ -130,7 +130,7 @@
         self.data_available.notify()
 
     def add_reader(self, reader: Reader, exclusive: bool) -> None:
-        """Add a reader, which replaces earlier connections of the same request, or all if `alone`.
+        """Add a reader; replace earlier connections of the same request, or all if `exclusive`.
 
         A dead connection may stay open for a quarter of an hour. When its request reconnects, the
         old connection must not count as a reader for that time.
@@ -202,8 +202,8 @@
         )
         kept_bytes = sum(run.kept_bytes for run in ended)
         for run in ended:
-            quiet_s = now_s - max(run.ended_s or 0.0, run.detached_s or 0.0)
-            if quiet_s > resume_s(run) or kept_bytes > self.kept_total_bytes:
+            idle_s = now_s - max(run.ended_s or 0.0, run.detached_s or 0.0)
+            if idle_s > resume_s(run) or kept_bytes > self.kept_total_bytes:
                 kept_bytes -= run.kept_bytes
                 self.remove(run)
         return [run for run in self if run.is_abandoned(now_s, resume_s(run))]
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -350,15 +350,15 @@
             fleet = await Fleet(path).start()
             successor = path.sidecars[fleet.successor_number]
             third = f"drafter-{3 - fleet.successor_number}"
-            kv_take = successor.run_manager.kv.import_prefix
+            import_prefix = successor.run_manager.kv.import_prefix
 
-            async def take_after_spill(description):
+            async def import_after_spill(description):
                 successor.admission.pointers.record_location(
                     fleet.key, third, 2 * TOKENS, time.monotonic()
                 )
-                return await kv_take(description)
+                return await import_prefix(description)
 
-            successor.run_manager.kv.import_prefix = take_after_spill
+            successor.run_manager.kv.import_prefix = import_after_spill
             await fleet.stop()
 
             assert fleet.pointers() == [third]
--- a/testing/test_load_exchange.py
+++ b/testing/test_load_exchange.py
@@ -23,7 +23,7 @@
 
 
 class Peer:
-    """One sidecar's peer exchange behind a real listener, which counts its bytes."""
+    """One sidecar's load exchange behind a real listener, which counts its bytes."""
 
     def __init__(self, name, version=0):
         self.load = LoadTracker(name, "0a1b2c3d4e5f", rng=random.Random(1))
