--- a/src/beryljunction/entry/attempt_runner.py
+++ b/src/beryljunction/entry/attempt_runner.py
@@ -31,11 +31,11 @@
     ) -> Refusal | None:
         """Send the request to an endpoint; return None if the caller received its answer."""
         writer = context.response_writer
-        heard = self._sidecars.last_stamp(endpoint)
+        known = self._sidecars.last_stamp(endpoint)
         # The stamp known before sending: only the incarnation that received the request can prove
         # that it did not run.
-        stamp = heard.stamp.to_text() if heard is not None else ""
-        age_s = heard.age_s if heard is not None else 0.0
+        stamp = known.stamp.to_text() if known is not None else ""
+        age_s = known.age_s if known is not None else 0.0
         attach = Attach(
             envelope.request_id,
             envelope.account,
--- a/src/beryljunction/entry/sidecar_client.py
+++ b/src/beryljunction/entry/sidecar_client.py
@@ -44,8 +44,8 @@
     "CONNECTION_ERRORS",
     "CONNECT_ERRORS",
     "ReceivedStamp",
-    "SidecarResponse",
     "SidecarClient",
+    "SidecarResponse",
 ]
 
 # Connecting within a region takes a few milliseconds. A host that is gone does not answer at all,
@@ -120,7 +120,7 @@
     def attach(
         self, endpoint: Endpoint, attach: Attach, silence_s: float
     ) -> AbstractAsyncContextManager[SidecarResponse]:
-        """Continue an answer on a new connection; times out on silence like :meth:`run`."""
+        """Continue an answer on a new connection; times out on silence like :meth:`run_request`."""
         return self._open(endpoint, ATTACH_PATH, [], encode(attach), silence_s)
 
     def note_failure(self, endpoint: Endpoint) -> None:
--- a/src/beryljunction/entry/ticket_router.py
+++ b/src/beryljunction/entry/ticket_router.py
@@ -146,10 +146,10 @@
 
     async def _ticket_for(self, step: TicketStep, account: str) -> str | None:
         if isinstance(step, Mint):
-            heard = self._sidecars.last_stamp(step.endpoint)
-            if heard is None or heard.age_s > _MAX_STAMP_AGE_S:
+            known = self._sidecars.last_stamp(step.endpoint)
+            if known is None or known.age_s > _MAX_STAMP_AGE_S:
                 return await self._sidecars.ticket(step.endpoint, account)
-            return self._mint.mint(heard.stamp, account)
+            return self._mint.mint(known.stamp, account)
         assert not isinstance(step, GiveUp)
         return step.ticket
 
@@ -174,7 +174,7 @@
         )
 
     def _fresh_stamps(self, endpoints: list[Endpoint]) -> tuple[str, ...]:
-        rows = [heard for row in endpoints if (heard := self._sidecars.last_stamp(row)) is not None]
+        rows = [known for row in endpoints if (known := self._sidecars.last_stamp(row)) is not None]
         return tuple(row.stamp.to_text() for row in rows if row.age_s <= _MAX_STAMP_AGE_S)
 
     def _endpoint_of(self, ticket: str | None, service: str) -> Endpoint | Refusal:
--- a/src/beryljunction/fleet_process/__init__.py
+++ b/src/beryljunction/fleet_process/__init__.py
@@ -9,14 +9,14 @@
 from beryljunction.operator_api import ProcessStatus
 
 __all__ = [
-    "HostResponses",
     "EntryRole",
-    "HostListWatcher",
-    "HostListCache",
     "FleetProcess",
+    "HostListCache",
+    "HostListWatcher",
+    "HostResponses",
+    "OperatorClient",
     "ProcessRole",
     "ProcessStatus",
-    "OperatorClient",
     "RoleContext",
     "SidecarRole",
 ]
--- a/src/beryljunction/fleet_process/fleet_client.py
+++ b/src/beryljunction/fleet_process/fleet_client.py
@@ -26,7 +26,7 @@
 
 @attrs.define
 class HostResponses(Generic[T]):
-    """Answers of the processes by host, and error texts of those that failed."""
+    """Responses of the processes by host, and error texts of those that failed."""
 
     values: dict[str, T] = attrs.field(factory=dict)
     failures: dict[str, str] = attrs.field(factory=dict)
--- a/src/beryljunction/fleet_process/hosts.py
+++ b/src/beryljunction/fleet_process/hosts.py
@@ -10,7 +10,7 @@
 from beryljunction.stores import HostChanges, HostList, HostRow
 from beryljunction.timeline import Timeline
 
-__all__ = ["HostListWatcher", "HostListCache"]
+__all__ = ["HostListCache", "HostListWatcher"]
 
 # Long polls: an unchanged list costs each process one small exchange per interval.
 _POLL_WAIT_S = 20.0
--- a/src/beryljunction/fleet_process/process.py
+++ b/src/beryljunction/fleet_process/process.py
@@ -105,13 +105,13 @@
         self._add_gauges()
 
     @classmethod
-    def entry(cls, file: EntryFile, view: ResolvedSettings) -> "Node":
+    def entry(cls, file: EntryFile, view: ResolvedSettings) -> "FleetProcess":
         """Return the process of an entry."""
         make = functools.partial(EntryRole, file, view)
         return cls(file.process, EntryRole, make, view)
 
     @classmethod
-    def sidecar(cls, file: SidecarFile, view: ResolvedSettings) -> "Node":
+    def sidecar(cls, file: SidecarFile, view: ResolvedSettings) -> "FleetProcess":
         """Return the process of a sidecar."""
         make = functools.partial(SidecarRole, file, view)
         return cls(file.process, SidecarRole, make, view)
@@ -306,5 +306,5 @@
             self.metrics.add_gauge(f"beryl_settings_{alarm.name}", documentation, read)
 
 
-def _status_reader(node: FleetProcess, field: str) -> Callable[[], float]:
-    return lambda: float(getattr(node.status(), field))
+def _status_reader(process: FleetProcess, field: str) -> Callable[[], float]:
+    return lambda: float(getattr(process.status(), field))
--- a/src/beryljunction/fleet_process/roles.py
+++ b/src/beryljunction/fleet_process/roles.py
@@ -29,7 +29,8 @@
         fleet: Pool for control calls to other processes.
         peers: Pool for exchanging load, counted separately in the metrics.
         settings_version: Returns the version of the current settings.
-        on_newer_settings: Called with the endpoint id of a peer that has newer settings, and their version.
+        on_newer_settings: Called with the endpoint id of a peer that has newer settings, and
+            their version.
         log: Client of the platform's log; None if no log is configured.
     """
 
@@ -45,7 +46,8 @@
     """The part of a process that differs between entry and sidecar.
 
     Attributes:
-        requires_client_certificate: Whether the request listener requires client certificates (mutual TLS).
+        requires_client_certificate: Whether the request listener requires client certificates
+            (mutual TLS).
         stoppable: The component that a graceful stop waits for.
         routes: Handlers of the control paths that other fleet processes call.
     """
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -512,9 +512,9 @@
     """Shift the clocks of sidecar and entry as if time had passed."""
     for system in (app.run_manager.tickets, app.run_manager.tombstones):
         system.clock._started_s -= elapsed_s
-    heard = path.entry_app._sidecars._last_stamps
-    for endpoint_id, row in heard.items():
-        heard[endpoint_id] = attrs.evolve(row, received_s=row.received_s - elapsed_s)
+    stamps = path.entry_app._sidecars._last_stamps
+    for endpoint_id, row in stamps.items():
+        stamps[endpoint_id] = attrs.evolve(row, received_s=row.received_s - elapsed_s)
 
 
 class TestDisconnect:
--- a/testing/test_fleet_process.py
+++ b/testing/test_fleet_process.py
@@ -259,39 +259,39 @@
         return answer
 
 
-class TestHostView:
+class TestHostListCache:
     def test_empty_full_list_removes_no_endpoint(self):
         """A list service that lost its rows in a restart must not remove every endpoint.
 
         If its empty full list were applied, all callers would be refused although every endpoint
-        works. The view keeps its rows until rows are listed again.
+        works. The cache keeps its rows until rows are listed again.
         """
-        view = HostListCache()
-        view.apply(HostChanges(5, (ROW,)))
+        cache = HostListCache()
+        cache.apply(HostChanges(5, (ROW,)))
 
-        assert not view.apply(HostChanges(0, full=True))
-        assert view.rows == {"drafter-0": ROW}
+        assert not cache.apply(HostChanges(0, full=True))
+        assert cache.rows == {"drafter-0": ROW}
 
     def test_changes_replace_and_remove_rows(self):
-        view = HostListCache()
-        view.apply(HostChanges(1, (ROW, attrs.evolve(ROW, endpoint_id="drafter-1"))))
+        cache = HostListCache()
+        cache.apply(HostChanges(1, (ROW, attrs.evolve(ROW, endpoint_id="drafter-1"))))
         moved = attrs.evolve(ROW, incarnation="2")
 
-        view.apply(HostChanges(3, (moved,), gone=("drafter-1",)))
+        cache.apply(HostChanges(3, (moved,), gone=("drafter-1",)))
 
-        assert view.rows == {"drafter-0": moved}
+        assert cache.rows == {"drafter-0": moved}
 
 
-class TestHostFollower:
+class TestHostListWatcher:
     def test_outage_keeps_the_last_view_and_is_logged_once(self):
         async def run():
             outage = PlatformUnavailableError("down")
             hosts = ScriptedHosts(HostChanges(4, (ROW,)), outage, outage)
             seen = []
             timeline = Timeline("host-a", "ahd-a")
-            follower = HostListWatcher(hosts, seen.append, timeline)
+            watcher = HostListWatcher(hosts, seen.append, timeline)
             async with anyio.create_task_group() as group:
-                await group.start(follower.run)
+                await group.start(watcher.run)
                 while len(hosts.asked) < 4:
                     await anyio.sleep(0.01)
                 group.cancel_scope.cancel()
--- a/testing/test_load_exchange.py
+++ b/testing/test_load_exchange.py
@@ -41,8 +41,8 @@
             rng=random.Random(1),
         )
         routes = {PEERS_PATH: self.exchange}
-        front = ControlMiddleware(nothing_else, KEY, routes, lambda: None, self.count_answered)
-        self.server = Server(front, bind_listener("127.0.0.1:0"))
+        app = ControlMiddleware(nothing_else, KEY, routes, lambda: None, self.count_answered)
+        self.server = Server(app, bind_listener("127.0.0.1:0"))
 
     def count_asked(self, sent, received):
         self.asked_bytes += sent + received
--- a/testing/test_operator_key.py
+++ b/testing/test_operator_key.py
@@ -57,7 +57,7 @@
         return found, node.status().not_ready
 
 
-class TestOperatorKeys:
+class TestOperatorKeyMiddleware:
     @pytest.mark.parametrize("key", ["", "Bearer wrong", KEY, f"Basic {KEY}", "Bearer"])
     def test_requests_without_a_valid_key_are_rejected(self, key):
         # Anyone who can reach the operator listener could otherwise drain the process or read its
