--- a/src/beryljunction/local/demo_settings.py
+++ b/src/beryljunction/local/demo_settings.py
@@ -17,8 +17,8 @@
     "DEMO_REGION",
     "DEMO_ZONES",
     "demo_settings",
-    "settings_by_path",
     "publish_settings",
+    "settings_by_path",
 ]
 
 DEMO_API_KEY = "demo-key"
