--- a/src/beryljunction/__init__.py
+++ b/src/beryljunction/__init__.py
@@ -28,7 +28,7 @@
     "StartError",
 ]
 
-_OUTCOMES = frozenset({"Ran", "Refusal", "RefusalCode"})
+_OUTCOMES = frozenset({"ExecutionStatus", "Refusal", "RefusalCode"})
 
 
 def __getattr__(name: str) -> Any:
--- a/src/beryljunction/httpcore_backend.py
+++ b/src/beryljunction/httpcore_backend.py
@@ -2,8 +2,9 @@
 
 httpcore's own stream enters a timeout scope and an exception map for every read, even without a
 timeout. On an open stream this is a third of the cost of a read apart from the system call, and
-each pending read holds kilobytes for it. One ticker (:mod:`beryljunction.idle_timeouts`) enforces the
-idle timeouts of our streams, so their reads don't need it. Everything else is left to httpcore.
+each pending read holds kilobytes for it. One periodic task (:mod:`beryljunction.idle_timeouts`)
+enforces the idle timeouts of our streams, so their reads don't need it. Everything else is left to
+httpcore.
 """
 
 import ssl
--- a/src/beryljunction/replay_buffer.py
+++ b/src/beryljunction/replay_buffer.py
@@ -110,7 +110,10 @@
         return first <= after + 1 <= self.last_sequence + 1
 
     def read_after(self, sequence: int) -> bytes:
-        """Return the frames after a sequence number that :meth:`reaches`; mark them as sent."""
+        """Return the frames after a sequence number, and mark them as sent.
+
+        The caller checks the sequence number with :meth:`can_resume_after` first.
+        """
         start = sequence - self._last_compressed
         if start < 0:
             packed = (block.after(sequence) for block in self._blocks if block.last > sequence)
--- a/src/beryljunction/stores/hosts.py
+++ b/src/beryljunction/stores/hosts.py
@@ -84,7 +84,7 @@
         self._url = base_url.rstrip("/") + HOSTS_PATH
 
     async def fetch_changes(self, after: int, wait_s: float) -> HostChanges:
-        """Return the changes after a version; see :meth:`HostList.changes`."""
+        """Return the changes after a version; see :meth:`HostList.fetch_changes`."""
         url = f"{self._url}?after={after}&wait_s={wait_s:g}"
         timeout = {"connect": _CONNECT_TIMEOUT_S, "read": wait_s + _READ_MARGIN_S}
         try:
--- a/src/beryljunction/stores/weights.py
+++ b/src/beryljunction/stores/weights.py
@@ -56,7 +56,7 @@
         self._pool = pool
 
     async def start_load(self, name: str) -> LoadStarted | LoadRefused | LoadUnknown:
-        """Start a load; see :meth:`WeightStore.begin`."""
+        """Start a load; see :meth:`WeightStore.start_load`."""
         response = await self._request("POST", "/loads", json.dumps({"name": name}).encode())
         if response is None:
             return LoadUnknown("no answer from the weight store")
--- a/src/beryljunction/tls.py
+++ b/src/beryljunction/tls.py
@@ -23,8 +23,9 @@
 
     Args:
         settings: Paths of certificate, key and the authority that signs the fleet's certificates.
-        requires_client_certificate: Whether the listener for requests accepts only clients with a certificate of
-            that authority. An entry's callers have none; they authenticate with an API key.
+        requires_client_certificate: Whether the listener for requests accepts only clients with a
+            certificate of that authority. An entry's callers have none; they authenticate with an
+            API key.
 
     Attributes:
         operator: Context of the operator listener, whose probes have no certificate.
--- a/testing/test_early_listener.py
+++ b/testing/test_early_listener.py
@@ -5,7 +5,7 @@
 from beryljunction.early_listener import open_early_listener, open_listener
 
 
-class TestListenEarly:
+class TestOpenEarlyListener:
     def test_client_connects_before_accept_is_called(self):
         listener = open_early_listener("127.0.0.1:0")
         with listener, socket.create_connection(listener.getsockname(), 1.0) as caller:
--- a/testing/test_graceful_stop.py
+++ b/testing/test_graceful_stop.py
@@ -45,18 +45,18 @@
 
 class TestGracefulStop:
     async def test_waits_for_requests_in_flight_then_hands_over_once(self):
-        part = FakeStoppable()
-        stop = GracefulStop(part, drain_delay_s=0.0)
+        app = FakeStoppable()
+        stop = GracefulStop(app, drain_delay_s=0.0)
         async with anyio.create_task_group() as group:
             group.start_soon(stop.run)
             stop.request()
             await anyio.sleep(0.2)
             stop.request()
-            before_end = list(part.steps)
-            part.left = 0
+            before_end = list(app.steps)
+            app.left = 0
 
         assert set(before_end) == {"refuse"}
-        assert part.steps == [*before_end, "hand_over"]
+        assert app.steps == [*before_end, "hand_over"]
 
     async def test_listener_stays_open_until_nothing_is_in_flight(self):
         # A sidecar gets SIGTERM during a stream, and then the reader's connection fails. The entry
--- a/testing/test_logging_setup.py
+++ b/testing/test_logging_setup.py
@@ -39,7 +39,7 @@
         assert 60 < len(arrived) < 140
 
 
-class TestConfigureLogs:
+class TestConfigureLogging:
     @pytest.mark.usefixtures("restored_logging")
     def test_event_is_one_line_of_key_value_pairs(self, capsys):
         configure_logging()
--- a/testing/test_metrics.py
+++ b/testing/test_metrics.py
@@ -44,7 +44,7 @@
         assert b"beryl_running_requests 2.0" in metrics.render()
 
 
-class TestMeteredApp:
+class TestMetricsMiddleware:
     def test_observes_the_first_byte_of_a_response_once(self):
         async def app(scope, receive, send):
             await send({"type": "http.response.start"})
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -28,7 +28,7 @@
         assert parse_event_id(text) is None
 
 
-class TestFrameCutter:
+class TestFrameParser:
     def test_buffers_an_incomplete_frame_and_accepts_crlf(self):
         parser = FrameParser()
 
@@ -36,7 +36,7 @@
         assert parser.feed(b"\n\r\ndata: b\n\nda") == [b"data: a", b"data: b"]
         assert parser.has_partial_frame
 
-    def test_frame_that_never_ends_is_overlong(self):
+    def test_frame_that_never_ends_is_too_long(self):
         parser = FrameParser(frame_bytes=10)
         parser.feed(b"data: " + b"x" * 10)
         assert parser.is_frame_too_long
@@ -97,7 +97,7 @@
         assert (checker.error, checker.complete) == (b"{}", False)
 
 
-class TestFrameLog:
+class TestReplayBuffer:
     def test_retains_unsent_frames_and_reports_when_full(self):
         log = ReplayBuffer(limit_bytes=10)
         log.append([b"12345678"] * 3)
