--- a/testing/test_fuzz_answers.py
+++ b/testing/test_fuzz_answers.py
@@ -202,10 +202,10 @@
 def number_comments(patch):
     real = FrameNumberer.add_ids
 
-    def number(self, frames):
+    def add_ids(self, frames):
         return real(self, [b"event" + row if row.startswith(b":") else row for row in frames])
 
-    patch.setattr(FrameNumberer, "number", number)
+    patch.setattr(FrameNumberer, "add_ids", add_ids)
 
 
 def resume_one_event_later(patch):
