--- a/testing/settings_simulation.py
+++ b/testing/settings_simulation.py
@@ -193,12 +193,12 @@
     def __init__(self, simulation, own):
         self.simulation, self.own = simulation, own
 
-    def listed(self):
+    def endpoint_ids(self):
         return [name for name in self.simulation.runners if name != self.own]
 
     async def exchange(self, own):
         await sleep(0.02)
-        names = [n for n in self.listed() if n not in self.simulation.scheduler.paused]
+        names = [n for n in self.endpoint_ids() if n not in self.simulation.scheduler.paused]
         for name in names:
             self.simulation.runners[name].receive_row(own)
         return [self.simulation.runners[name].own_row() for name in names]
